--- /dev/null
+++ b/tests/golden_wire_test.cc
@@ -0,0 +1,871 @@
+// Golden encodings of all messages: what is sent is compared with literal bytes, and literal
+// bytes are read into the expected fields. Guards the wire against changes of the code that are
+// not meant to show on it, such as the renaming of a type, a field or an enumerator.
+#include <gtest/gtest.h>
+
+#include "golden_support.h"
+#include "wire/cloud_codec.h"
+#include "wire/job_codec.h"
+#include "wire/mesh_codec.h"
+#include "wire/state_codec.h"
+#include "wire/worker_codec.h"
+
+namespace deckhall {
+namespace {
+
+constexpr uint64_t kLargeNumber = 9007199254740993;  // has no exact double
+constexpr size_t kLengthBytes = 4;                   // before each frame
+
+// All fields of a job set, and none at its default.
+JobSpec FullJob() {
+  JobSpec job;
+  job.id = "job-000412";
+  job.job_class = "sums";
+  job.team = "blue";
+  job.priority = Priority::kUrgent;
+  job.tasks = 4100;
+  job.cores = 2.5;
+  job.gpus = 1;
+  job.memory_gb = 16.25;
+  job.image = "registry/sums:1";
+  job.image_gb = 3.75;
+  job.types = std::vector<std::string>{"box", "big"};
+  job.zone = "east";
+  job.one_zone = true;
+  job.apart = true;
+  job.spot = true;
+  job.estimate_s = 120.5;
+  job.checkpoint_s = 60;
+  job.save_s = 5.25;
+  job.deadline_s = 86400;
+  return job;
+}
+
+constexpr const char* kFullJob =
+    R"({"name_id":"job-000412","clase":"sums","cuadrilla":"blue","forma":"sweep",)"
+    R"("rango":"urgent","faenas":4100,"cores":2.5,"gpus":1.0,"memory_gb":16.25,)"
+    R"("carga":"registry/sums:1","image_gb":3.75,"cascos":["box","big"],"muelle":"east",)"
+    R"("one_zone":true,"apart":true,"prestados":true,"rumbo_s":120.5,"bitacora_s":60.0,)"
+    R"("estiba_s":5.25,"arribo_s":86400.0})";
+
+JobSpec MinimalJob() {
+  JobSpec job;
+  job.id = "job-1";
+  job.job_class = "sums";
+  job.team = "blue";
+  job.tasks = 1;
+  job.image = "img";
+  return job;
+}
+
+constexpr const char* kMinimalJob =
+    R"({"name_id":"job-1","clase":"sums","cuadrilla":"blue","forma":"sweep","rango":"normal",)"
+    R"("faenas":1,"cores":0.0,"memory_gb":0.0,"carga":"img","image_gb":0.0,"rumbo_s":0.0})";
+
+std::string Written(const JobSpec& job) {
+  rapidjson::StringBuffer buffer;
+  JsonWriter writer(buffer);
+  WriteJob(writer, job);
+  return {buffer.GetString(), buffer.GetSize()};
+}
+
+// A task in each state, and one for each reason to end.
+std::vector<TaskReport> EveryTask() {
+  return {
+      {"job-000412/0", 1, TaskState::kFetching, ExitWhy::kNone, false},
+      {"job-000412/1", kLargeNumber, TaskState::kRunning, ExitWhy::kNone, false},
+      {"job-000412/2", 3, TaskState::kSaving, ExitWhy::kNone, false},
+      {"job-000412/3", 4, TaskState::kGathering, ExitWhy::kNone, false},
+      {"job-000412/4", 5, TaskState::kExited, ExitWhy::kDone, false},
+      {"job-000412/5", 6, TaskState::kExited, ExitWhy::kStopped, true},
+      {"job-000412/6", 7, TaskState::kExited, ExitWhy::kError, false},
+      {"job-000412/7", 8, TaskState::kExited, ExitWhy::kNoRoom, false},
+      {"job-000412/8", 9, TaskState::kExited, ExitWhy::kInUse, false},
+      {"job-000412/9", 10, TaskState::kExited, ExitWhy::kUnknown, false},
+      {"job-000412/10", 11, TaskState::kExited, ExitWhy::kPeers, false},
+      {"job-000412/11", 12, TaskState::kExited, ExitWhy::kIncomplete, false},
+  };
+}
+
+Report FullReport() {
+  Report report;
+  report.machine = "m-17";
+  report.endpoint = "10.0.0.17:7000";
+  report.type = "box";
+  report.zone = "east";
+  report.spot = true;
+  report.session = 3;
+  report.seq = kLargeNumber;
+  report.token = 1690000000000;
+  report.notice_s = 28.5;
+  report.tasks = EveryTask();
+  return report;
+}
+
+constexpr const char* kFullReport =
+    R"({"cubierta":"m-17","endpoint":"10.0.0.17:7000","casco":"box","muelle":"east",)"
+    R"("prestados":true,"guardia":3,"correlativo":9007199254740993,"mando":1690000000000,)"
+    R"("aviso_s":28.5,"faenas":[)"
+    R"({"faena":"job-000412/0","intento":1,"estado":"pulling"},)"
+    R"({"faena":"job-000412/1","intento":9007199254740993,"estado":"running"},)"
+    R"({"faena":"job-000412/2","intento":3,"estado":"flushing"},)"
+    R"({"faena":"job-000412/3","intento":4,"estado":"gathering"},)"
+    R"({"faena":"job-000412/4","intento":5,"estado":"ended","motivo":"done","saved":false},)"
+    R"({"faena":"job-000412/5","intento":6,"estado":"ended","motivo":"stopped","saved":true},)"
+    R"({"faena":"job-000412/6","intento":7,"estado":"ended","motivo":"error","saved":false},)"
+    R"({"faena":"job-000412/7","intento":8,"estado":"ended","motivo":"no_room","saved":false},)"
+    R"({"faena":"job-000412/8","intento":9,"estado":"ended","motivo":"in_use","saved":false},)"
+    R"({"faena":"job-000412/9","intento":10,"estado":"ended","motivo":"unknown","saved":false},)"
+    R"({"faena":"job-000412/10","intento":11,"estado":"ended","motivo":"peers","saved":false},)"
+    R"({"faena":"job-000412/11","intento":12,"estado":"ended","motivo":"incomplete",)"
+    R"("saved":false}]})";
+
+constexpr const char* kMinimalReport =
+    R"({"cubierta":"m-1","endpoint":"","casco":"","muelle":"","prestados":false,"guardia":0,)"
+    R"("correlativo":0,"mando":0,"faenas":[]})";
+
+void ExpectSameTasks(const std::vector<TaskReport>& read, const std::vector<TaskReport>& expected) {
+  ASSERT_EQ(read.size(), expected.size());
+  for (size_t i = 0; i < read.size(); ++i) {
+    EXPECT_EQ(read[i].task, expected[i].task);
+    EXPECT_EQ(read[i].attempt, expected[i].attempt) << expected[i].task;
+    EXPECT_EQ(read[i].state, expected[i].state) << expected[i].task;
+    EXPECT_EQ(read[i].why, expected[i].why) << expected[i].task;
+    EXPECT_EQ(read[i].saved, expected[i].saved) << expected[i].task;
+  }
+}
+
+void ExpectSameReport(const Report& read, const Report& expected) {
+  EXPECT_EQ(read.machine, expected.machine);
+  EXPECT_EQ(read.endpoint, expected.endpoint);
+  EXPECT_EQ(read.type, expected.type);
+  EXPECT_EQ(read.zone, expected.zone);
+  EXPECT_EQ(read.spot, expected.spot);
+  EXPECT_EQ(read.session, expected.session);
+  EXPECT_EQ(read.seq, expected.seq);
+  EXPECT_EQ(read.token, expected.token);
+  EXPECT_EQ(read.notice_s, expected.notice_s);
+  ExpectSameTasks(read.tasks, expected.tasks);
+}
+
+// One of each; only a stop has a grace.
+std::vector<Command> EveryCommand() {
+  return {{CommandOp::kStart, "job-000412/3", kLargeNumber, 0},
+          {CommandOp::kStop, "job-000412/4", 2, 7.5},
+          {CommandOp::kForget, "job-000412/5", 3, 0}};
+}
+
+constexpr const char* kEveryCommand =
+    R"("ordenes":[{"maniobra":"launch","faena":"job-000412/3","intento":9007199254740993},)"
+    R"({"maniobra":"stop","faena":"job-000412/4","intento":2,"tregua_s":7.5},)"
+    R"({"maniobra":"clear","faena":"job-000412/5","intento":3}]})";
+
+void ExpectSameCommands(const std::vector<Command>& read, const std::vector<Command>& expected) {
+  ASSERT_EQ(read.size(), expected.size());
+  for (size_t i = 0; i < read.size(); ++i) {
+    EXPECT_EQ(read[i].op, expected[i].op) << expected[i].task;
+    EXPECT_EQ(read[i].task, expected[i].task);
+    EXPECT_EQ(read[i].attempt, expected[i].attempt) << expected[i].task;
+    EXPECT_EQ(read[i].grace_s, expected[i].grace_s) << expected[i].task;
+  }
+}
+
+TEST(GoldenWorkerWire, AFullReportIsEncodedAsEver) {
+  EXPECT_EQ(EncodeReport(FullReport()), kFullReport);
+}
+
+TEST(GoldenWorkerWire, AMinimalReportIsEncodedAsEver) {
+  Report report;
+  report.machine = "m-1";
+  EXPECT_EQ(EncodeReport(report), kMinimalReport);
+}
+
+TEST(GoldenWorkerWire, AnEndWithoutReasonIsEncodedAsError) {
+  Report report;
+  report.machine = "m-1";
+  report.tasks = {{"job-1/0", 1, TaskState::kExited, ExitWhy::kNone, false}};
+  EXPECT_EQ(EncodeReport(report),
+            R"({"cubierta":"m-1","endpoint":"","casco":"","muelle":"","prestados":false,)"
+            R"("guardia":0,"correlativo":0,"mando":0,"faenas":[{"faena":"job-1/0","intento":1,)"
+            R"("estado":"ended","motivo":"error","saved":false}]})");
+}
+
+TEST(GoldenWorkerWire, AFullReportIsReadIntoEveryField) {
+  Report report;
+  ASSERT_TRUE(DecodeReport(kFullReport, &report));
+  ExpectSameReport(report, FullReport());
+}
+
+TEST(GoldenWorkerWire, AReportWithoutWhatMayBeLeftOutIsReadWithDefaults) {
+  Report report;
+  ASSERT_TRUE(DecodeReport(R"({"cubierta":"m-1","endpoint":"a:1","casco":"box","muelle":"west",)"
+                           R"("guardia":1,"correlativo":2})",
+                           &report));
+  Report expected;
+  expected.machine = "m-1";
+  expected.endpoint = "a:1";
+  expected.type = "box";
+  expected.zone = "west";
+  expected.session = 1;
+  expected.seq = 2;
+  ExpectSameReport(report, expected);
+}
+
+TEST(GoldenWorkerWire, AnUnknownReasonIsReadAsErrorAndAnUnknownStateIsRefused) {
+  const std::string head =
+      R"({"cubierta":"m-1","endpoint":"a:1","casco":"box","muelle":"west","guardia":1,)"
+      R"("correlativo":2,"faenas":[{"faena":"job-1/0","intento":1,"estado":)";
+  Report report;
+  ASSERT_TRUE(DecodeReport(head + R"("ended","motivo":"tired"}]})", &report));
+  ASSERT_EQ(report.tasks.size(), 1U);
+  EXPECT_EQ(report.tasks[0].why, ExitWhy::kError);
+  Report refused;
+  EXPECT_FALSE(DecodeReport(head + R"("exited"}]})", &refused));
+}
+
+TEST(GoldenWorkerWire, AnswersToReportsAreEncodedAsEver) {
+  ReportResponse response;
+  response.status = 200;
+  response.token = 1690000000000;
+  EXPECT_EQ(EncodeReportResponse(response), R"({"mando":1690000000000,"ordenes":[]})");
+  response.commands = EveryCommand();
+  EXPECT_EQ(EncodeReportResponse(response),
+            std::string(R"({"mando":1690000000000,)") + kEveryCommand);
+  response.status = 421;
+  response.report_to = "10.0.0.2:7001";
+  EXPECT_EQ(EncodeReportResponse(response), R"({"capitan":"10.0.0.2:7001"})");
+  EXPECT_EQ(EncodeReportResponse(ReportResponse()), R"({"error":"no leader"})");
+}
+
+TEST(GoldenWorkerWire, CommandsAreEncodedAsEver) {
+  EXPECT_EQ(EncodeCommands(1690000000000, 3, EveryCommand()),
+            std::string(R"({"mando":1690000000000,"guardia":3,)") + kEveryCommand);
+  EXPECT_EQ(EncodeCommands(0, 0, {}), R"({"mando":0,"guardia":0,"ordenes":[]})");
+}
+
+TEST(GoldenWorkerWire, OrdersAreReadIntoEveryField) {
+  WorkerOrders orders;
+  ASSERT_TRUE(
+      DecodeOrders(std::string(R"({"mando":1690000000000,"guardia":3,)") + kEveryCommand, &orders));
+  EXPECT_EQ(orders.token, 1690000000000U);
+  EXPECT_EQ(orders.session, 3U);
+  ExpectSameCommands(orders.commands, EveryCommand());
+  WorkerOrders minimal;
+  ASSERT_TRUE(DecodeOrders(R"({"mando":7})", &minimal));
+  EXPECT_EQ(minimal.token, 7U);
+  EXPECT_EQ(minimal.session, 0U);
+  EXPECT_TRUE(minimal.commands.empty());
+}
+
+TEST(GoldenJobWire, AFullJobIsEncodedAsEver) { EXPECT_EQ(Written(FullJob()), kFullJob); }
+
+TEST(GoldenJobWire, AMinimalJobIsEncodedAsEver) { EXPECT_EQ(Written(MinimalJob()), kMinimalJob); }
+
+TEST(GoldenJobWire, AFullJobIsReadIntoEveryField) {
+  std::string id;
+  JobSpec job;
+  ASSERT_EQ(ParseJob(kFullJob, &id, &job), "");
+  EXPECT_EQ(id, "job-000412");
+  ExpectSameJob(job, FullJob());
+}
+
+TEST(GoldenJobWire, AMinimalJobIsReadWithDefaults) {
+  rapidjson::Document document;
+  ASSERT_TRUE(ParseJson(kMinimalJob, &document));
+  JobSpec job;
+  ASSERT_EQ(ReadJob(document, &job), "");
+  ExpectSameJob(job, MinimalJob());
+}
+
+// The minimal job with another word.
+std::string MinimalWith(const std::string& field, const std::string& old_word,
+                        const std::string& word) {
+  std::string text = kMinimalJob;
+  const std::string old_text = "\"" + field + "\":\"" + old_word + "\"";
+  text.replace(text.find(old_text), old_text.size(), "\"" + field + "\":\"" + word + "\"");
+  return text;
+}
+
+void ExpectWrittenAndRead(const JobSpec& job, const std::string& text) {
+  EXPECT_EQ(Written(job), text);
+  std::string id;
+  JobSpec read;
+  ASSERT_EQ(ParseJob(text, &id, &read), "") << text;
+  ExpectSameJob(read, job);
+}
+
+TEST(GoldenJobWire, EveryPriorityHasItsWord) {
+  const std::vector<std::pair<Priority, std::string>> words = {
+      {Priority::kIdle, "idle"},
+      {Priority::kNormal, "normal"},
+      {Priority::kUrgent, "urgent"},
+      {Priority::kProduction, "production"}};
+  for (const auto& [priority, word] : words) {
+    JobSpec job = MinimalJob();
+    job.priority = priority;
+    ExpectWrittenAndRead(job, MinimalWith("rango", "normal", word));
+  }
+}
+
+TEST(GoldenJobWire, EveryKindOfJobHasItsWord) {
+  JobSpec service = MinimalJob();
+  service.service = true;
+  ExpectWrittenAndRead(service, MinimalWith("forma", "sweep", "daemon"));
+  JobSpec gang = MinimalJob();
+  gang.gang = true;
+  ExpectWrittenAndRead(gang, MinimalWith("forma", "sweep", "ensemble"));
+}
+
+TEST(GoldenJobWire, AnInvalidFieldIsNamedAsUsersKnowIt) {
+  std::string id;
+  JobSpec job;
+  EXPECT_EQ(ParseJob("no", &id, &job), "not JSON");
+  EXPECT_EQ(ParseJob("[]", &id, &job), "not an object");
+  EXPECT_EQ(ParseJob("{}", &id, &job), "missing or invalid: name_id");
+  EXPECT_EQ(ParseJob(MinimalWith("rango", "normal", "first"), &id, &job),
+            "missing or invalid: rango");
+  EXPECT_EQ(ParseJob(MinimalWith("forma", "sweep", "array"), &id, &job),
+            "missing or invalid: forma");
+  EXPECT_EQ(id, "job-1");
+}
+
+TEST(GoldenJobWire, OnlyIdsOfTheKnownFormAreValid) {
+  EXPECT_TRUE(ValidJobId("job-0"));
+  EXPECT_TRUE(ValidJobId("job-01234567890123456789"));
+  EXPECT_FALSE(ValidJobId("job-012345678901234567890"));
+  EXPECT_FALSE(ValidJobId("job-"));
+  EXPECT_FALSE(ValidJobId("job-1a"));
+  EXPECT_FALSE(ValidJobId("Job-1"));
+}
+
+TEST(GoldenJobWire, EveryJobStateHasItsWord) {
+  EXPECT_STREQ(JobStateWord(JobState::kPending), "pending");
+  EXPECT_STREQ(JobStateWord(JobState::kRunning), "running");
+  EXPECT_STREQ(JobStateWord(JobState::kDone), "done");
+  EXPECT_STREQ(JobStateWord(JobState::kCancelled), "aborted");
+}
+
+TEST(GoldenJobWire, AnswersToUsersAreEncodedAsEver) {
+  UserRequest request;
+  request.id = "job-000412";
+  UserResponse response;
+  response.status = 200;
+  response.state = JobState::kRunning;
+  response.done = 3;
+  response.running = 7;
+  EXPECT_EQ(EncodeUserResponse(request, response),
+            R"({"name_id":"job-000412","estado":"running","done":3,"running":7})");
+  request.op = UserOp::kCancel;
+  response.state = JobState::kCancelled;
+  EXPECT_EQ(EncodeUserResponse(request, response),
+            R"({"name_id":"job-000412","estado":"aborted"})");
+  request.op = UserOp::kSubmit;
+  response.status = 201;
+  response.state = JobState::kPending;
+  EXPECT_EQ(EncodeUserResponse(request, response),
+            R"({"name_id":"job-000412","estado":"pending"})");
+  response.status = 404;
+  response.error = "no \"such\" job";
+  EXPECT_EQ(EncodeUserResponse(request, response), R"({"error":"no \"such\" job"})");
+  EXPECT_EQ(EncodeError(""), R"({"error":""})");
+}
+
+constexpr const char* kTypes =
+    R"({"cascos":[{"name":"big","cores":64,"gpus":4,"memory_gb":512.5,"cache_gb":200.5,)"
+    R"("pull_gb_per_s":0.125,"hourly":9.75,"low_price":3.25,"startup_s":45.5,)"
+    R"("muelles":["east","west"]},{"name":"box","cores":8,"memory_gb":64,"hourly":1.5}]})";
+
+TEST(GoldenCloudWire, MachineTypesAreReadIntoEveryField) {
+  std::vector<MachineType> types;
+  ASSERT_TRUE(DecodeTypes(kTypes, &types));
+  ASSERT_EQ(types.size(), 2U);
+  EXPECT_EQ(types[0].name, "big");
+  EXPECT_EQ(types[0].cores, 64);
+  EXPECT_EQ(types[0].gpus, 4);
+  EXPECT_EQ(types[0].memory_gb, 512.5);
+  EXPECT_EQ(types[0].cache_gb, 200.5);
+  EXPECT_EQ(types[0].fetch_gb_per_s, 0.125);
+  EXPECT_EQ(types[0].price, 9.75);
+  EXPECT_EQ(types[0].spot_price, 3.25);
+  EXPECT_EQ(types[0].boot_s, 45.5);
+  EXPECT_EQ(types[0].zones, (std::vector<std::string>{"east", "west"}));
+}
+
+TEST(GoldenCloudWire, AMinimalMachineTypeIsReadWithDefaults) {
+  std::vector<MachineType> types;
+  ASSERT_TRUE(DecodeTypes(kTypes, &types));
+  ASSERT_EQ(types.size(), 2U);
+  EXPECT_EQ(types[1].name, "box");
+  EXPECT_EQ(types[1].cores, 8);
+  EXPECT_EQ(types[1].gpus, 0);
+  EXPECT_EQ(types[1].memory_gb, 64);
+  EXPECT_EQ(types[1].cache_gb, 0);
+  EXPECT_EQ(types[1].fetch_gb_per_s, 0);
+  EXPECT_EQ(types[1].price, 1.5);
+  EXPECT_EQ(types[1].spot_price, 1.5);
+  EXPECT_EQ(types[1].boot_s, 0);
+  EXPECT_TRUE(types[1].zones.empty());
+}
+
+TEST(GoldenCloudWire, AMachineListIsReadIntoEveryField) {
+  std::vector<ListedMachine> machines;
+  bool truncated = false;
+  ASSERT_TRUE(DecodeMachineList(
+      R"({"cubiertas":[{"name_id":"m-1","endpoint":"10.0.0.1:7000","casco":"box",)"
+      R"("muelle":"east","prestados":true,"estado":"running","age_s":12.5},)"
+      R"({"name_id":"m-2","estado":"failed"},{"name_id":"m-3","estado":"starting"}],)"
+      R"("truncated":true})",
+      &machines, &truncated));
+  EXPECT_TRUE(truncated);
+  ASSERT_EQ(machines.size(), 3U);
+  EXPECT_EQ(machines[0].name, "m-1");
+  EXPECT_EQ(machines[0].endpoint, "10.0.0.1:7000");
+  EXPECT_EQ(machines[0].type, "box");
+  EXPECT_EQ(machines[0].zone, "east");
+  EXPECT_TRUE(machines[0].spot);
+  EXPECT_EQ(machines[0].state, ListedState::kRunning);
+  EXPECT_EQ(machines[0].age_s, 12.5);
+  EXPECT_EQ(machines[1].name, "m-2");
+  EXPECT_EQ(machines[1].state, ListedState::kFailed);
+  EXPECT_FALSE(machines[1].spot);
+  EXPECT_EQ(machines[1].age_s, 0);
+  EXPECT_EQ(machines[2].state, ListedState::kStarting);
+}
+
+TEST(GoldenCloudWire, AnEmptyMachineListIsRead) {
+  std::vector<ListedMachine> machines;
+  bool truncated = true;
+  ASSERT_TRUE(DecodeMachineList(R"({"cubiertas":[]})", &machines, &truncated));
+  EXPECT_FALSE(truncated);
+  EXPECT_TRUE(machines.empty());
+}
+
+TEST(GoldenCloudWire, RentedMachinesAreRead) {
+  std::vector<std::string> machines;
+  ASSERT_TRUE(DecodeRented(R"({"cubiertas":["m-1","m-2"]})", &machines));
+  EXPECT_EQ(machines, (std::vector<std::string>{"m-1", "m-2"}));
+}
+
+TEST(GoldenCloudWire, RequestsAreEncodedAsEver) {
+  EXPECT_EQ(EncodeRental("r-102-1", "box", "east", true, 50),
+            R"({"flete":"r-102-1","casco":"box","muelle":"east","prestados":true,"how_many":50})");
+  EXPECT_EQ(EncodeRental("", "", "", false, 0),
+            R"({"flete":"","casco":"","muelle":"","prestados":false,"how_many":0})");
+  EXPECT_EQ(EncodeReturn({"m-1", "m-2"}), R"({"cubiertas":["m-1","m-2"]})");
+  EXPECT_EQ(EncodeReturn({}), R"({"cubiertas":[]})");
+  EXPECT_EQ(ListPath("m-2", 500), "/machines?from=m-2&page=500");
+  EXPECT_EQ(ListPath("", 1), "/machines?from=&page=1");
+}
+
+TEST(GoldenStateWire, AFullTransactionIsEncodedAsEver) {
+  Txn txn;
+  txn.conditions = {{"deckhall/leader", kLargeNumber}, {"deckhall/pages/00000001", 0}};
+  txn.writes = {{"deckhall/pages/00000001", R"([{"s":"d","x":"job-1"}])", 0},
+                {"deckhall/leader", R"({"label":"n0"})", 12},
+                {"deckhall/pages/00000002", "", 0}};
+  EXPECT_EQ(EncodeTxn(txn), R"({"if":[{"key":"deckhall/leader","huella":9007199254740993},)"
+                            R"({"key":"deckhall/pages/00000001","huella":0}],"writes":[)"
+                            R"({"put":"deckhall/pages/00000001","data":[{"s":"d","x":"job-1"}]},)"
+                            R"({"put":"deckhall/leader","data":{"label":"n0"},"amarre":12},)"
+                            R"({"remove":"deckhall/pages/00000002"}]})");
+}
+
+TEST(GoldenStateWire, AnEmptyTransactionAndAGrantAreEncodedAsEver) {
+  EXPECT_EQ(EncodeTxn(Txn()), R"({"if":[]})");
+  EXPECT_EQ(EncodeGrant(2500), R"({"ttl_ms":2500})");
+}
+
+TEST(GoldenStateWire, ARowIsReadIntoEveryField) {
+  KvRow row;
+  ASSERT_TRUE(DecodeRow(R"({"key":"a/b","huella":9007199254740993,"data":[{"c":1.50}]})", &row));
+  EXPECT_EQ(row.key, "a/b");
+  EXPECT_EQ(row.version, kLargeNumber);
+  EXPECT_EQ(row.value, R"([{"c":1.5}])");
+}
+
+TEST(GoldenStateWire, RowsAreReadIntoEveryField) {
+  std::vector<KvRow> rows;
+  bool truncated = false;
+  uint64_t revision = 0;
+  ASSERT_TRUE(
+      DecodeRows(R"({"rows":[{"key":"a","huella":1,"data":{}},{"key":"b","huella":2,"data":"x"}],)"
+                 R"("truncated":true,"marea":77})",
+                 &rows, &truncated, &revision));
+  EXPECT_TRUE(truncated);
+  EXPECT_EQ(revision, 77U);
+  ASSERT_EQ(rows.size(), 2U);
+  EXPECT_EQ(rows[0].key, "a");
+  EXPECT_EQ(rows[0].version, 1U);
+  EXPECT_EQ(rows[0].value, "{}");
+  EXPECT_EQ(rows[1].key, "b");
+  EXPECT_EQ(rows[1].version, 2U);
+  EXPECT_EQ(rows[1].value, "\"x\"");
+}
+
+TEST(GoldenStateWire, ARevisionAndALeaseAreRead) {
+  uint64_t revision = 0;
+  ASSERT_TRUE(DecodeRevision(R"({"marea":9007199254740993})", &revision));
+  EXPECT_EQ(revision, kLargeNumber);
+  uint64_t lease = 0;
+  ASSERT_TRUE(DecodeGrant(R"({"amarre":12})", &lease));
+  EXPECT_EQ(lease, 12U);
+  EXPECT_FALSE(DecodeGrant(R"({"amarre":0})", &lease));
+}
+
+std::string ToHex(const std::string& bytes) {
+  static const char* const kDigits = "0123456789abcdef";
+  std::string hex;
+  for (const char byte : bytes) {
+    hex += kDigits[static_cast<unsigned char>(byte) >> 4];
+    hex += kDigits[static_cast<unsigned char>(byte) & 15];
+  }
+  return hex;
+}
+
+std::string FromHex(const std::string& hex) {
+  std::string bytes;
+  for (size_t i = 0; i + 1 < hex.size(); i += 2) {
+    bytes += static_cast<char>(std::stoi(hex.substr(i, 2), nullptr, 16));
+  }
+  return bytes;
+}
+
+std::string EncodedHex(const MeshFrame& frame) {
+  std::string bytes;
+  EncodeFrame(frame, &bytes);
+  return ToHex(bytes);
+}
+
+// Reads a frame from its literal bytes, whose length goes first.
+MeshFrame DecodedFrame(const std::string& hex) {
+  MeshFrame frame;
+  EXPECT_TRUE(DecodeFrame(FromHex(hex).substr(kLengthBytes), &frame));
+  return frame;
+}
+
+MeshFrame Addressed() {
+  MeshFrame frame;
+  frame.id = 0x0102030405060708;
+  frame.target = "n2";
+  frame.hops = 3;
+  return frame;
+}
+
+void ExpectAddressed(const MeshFrame& frame) {
+  EXPECT_EQ(frame.id, 0x0102030405060708U);
+  EXPECT_EQ(frame.target, "n2");
+  EXPECT_EQ(frame.hops, 3);
+}
+
+MeshPing FullPing() {
+  MeshPing ping;
+  ping.label = "n1";
+  ping.instance = kLargeNumber;
+  ping.leading = true;
+  ping.holding = false;
+  ping.informed = true;
+  ping.term = 102;
+  ping.leader = "n0";
+  ping.reaches = {"n0", "n2"};
+  return ping;
+}
+
+UserRequest Submission() {
+  UserRequest request;
+  request.op = UserOp::kSubmit;
+  request.id = "job-000412";
+  request.job = FullJob();
+  request.job.gang = true;
+  return request;
+}
+
+UserRequest InvalidSubmission() {
+  UserRequest request;
+  request.op = UserOp::kSubmit;
+  request.id = "job-7";
+  request.invalid = "missing or invalid: clase";
+  return request;
+}
+
+UserResponse FullUserResponse() {
+  UserResponse response;
+  response.status = 409;
+  response.state = JobState::kCancelled;
+  response.done = 70000;
+  response.running = 9;
+  response.error = "another job has this id";
+  response.retry_after_s = 5;
+  return response;
+}
+
+ReportResponse FullReportResponse() {
+  ReportResponse response;
+  response.status = 421;
+  response.token = 1690000000000;
+  response.report_to = "10.0.0.2:7001";
+  response.commands = EveryCommand();
+  return response;
+}
+
+// Frames in hexadecimal digits, the length first.
+
+constexpr const char* kNoneFrame =
+    "3800000000000000060000000000000002000200080706050403020103000000"
+    "00000000050000001a00000000000000000000006e32000000000000";
+
+constexpr const char* kPingFrame =
+    "9800000000000000120000000000000002000200080706050403020103000100"
+    "00000000050000001a00000004000000030003006e3200000000000001000000"
+    "0000200005000000000000006600000000000000090000001a00000009000000"
+    "1a00000009000000160000006e310000000000006e3000000000000005000000"
+    "1a000000050000001a0000006e300000000000006e32000000000000";
+
+constexpr const char* kHolderPingFrame =
+    "78000000000000000e0000000000000002000200080706050403020103000100"
+    "00000000050000001a00000004000000030003006e3200000000000000000000"
+    "0000000002000000000000000000000000000000090000000a00000009000000"
+    "0a000000090000000600000000000000000000000000000000000000";
+
+constexpr const char* kSubmissionFrame =
+    "4001000000000000270000000000000002000200080706050403020103000200"
+    "00000000050000001a00000004000000010003006e3200000000000002000000"
+    "00000000090000005a0000000d0000000a0000000c000000090006006a6f622d"
+    "30303034313200000000000000000000000000003c0200000410000000000000"
+    "00000440000000000000f03f00000000004030400000000000000e4000000000"
+    "00205e400000000000004e400000000000001540000000000018f54015000000"
+    "5a000000190000002a000000190000002a00000019000000820000001d000000"
+    "16000000290000002a0000006a6f622d30303034313200000000000073756d73"
+    "00000000626c75650000000072656769737472792f73756d733a310005000000"
+    "220000000500000022000000626f780000000000626967000000000065617374"
+    "00000000";
+
+constexpr const char* kMinimalSubmissionFrame =
+    "1001000000000000210000000000000002000200080706050403020103000200"
+    "00000000050000001a00000004000000010003006e3200000000000002000000"
+    "00000000090000005a0000000d0000000a0000000c000000090006006a6f622d"
+    "3030303431320000000000000000000000000000030300000100000000000000"
+    "0000000000000000000000000000000000000000000000000000000000000000"
+    "0000000000000000000000000000000000000000000000000000f0bf15000000"
+    "32000000150000002a000000150000002a000000150000002200000000000000"
+    "00000000110000000a0000006a6f622d3100000073756d7300000000626c7565"
+    "00000000696d6700000000000000000000000000";
+
+constexpr const char* kInvalidSubmissionFrame =
+    "80000000000000000f0000000000000002000200080706050403020103000200"
+    "00000000050000001a00000004000000010003006e3200000000000002000000"
+    "00000000090000003200000009000000d200000000000000000000006a6f622d"
+    "370000006d697373696e67206f7220696e76616c69643a20636c617365000000"
+    "00000000";
+
+constexpr const char* kUserResponseFrame =
+    "68000000000000000c0000000000000002000200080706050403020103000300"
+    "00000000050000001a00000004000000020001006e3200000000000099010300"
+    "70110100090000000500000001000000c2000000616e6f74686572206a6f6220"
+    "686173207468697320696400";
+
+constexpr const char* kReportFrame =
+    "9802000000000000520000000000000002000200080706050403020103000400"
+    "00000000050000001a00000004000000050005006e3200000000000001000000"
+    "00000000030000000000000001000000000020000084d97b8901000000000000"
+    "00803c40110000002a000000110000007a000000150000002200000015000000"
+    "2a00000015000000270100006d2d31370000000031302e302e302e31373a3730"
+    "30300000626f7800000000006561737400000000300000000200010001000000"
+    "000000000000000000000000850000006a000000010000000000200001000000"
+    "00000000810000006a000000030000000000000002000000000000007d000000"
+    "6a00000004000000000000000400000000000000790000006a00000005000000"
+    "000000000301000000000000750000006a000000060000000000000003020100"
+    "00000000710000006a000000070000000000000003030000000000006d000000"
+    "6a00000008000000000000000304000000000000690000006a00000009000000"
+    "000000000305000000000000650000006a0000000a0000000000000003060000"
+    "00000000610000006a0000000b0000000000000003070000000000005d000000"
+    "720000000c00000000000000030800000000000059000000720000006a6f622d"
+    "3030303431322f30000000006a6f622d3030303431322f31000000006a6f622d"
+    "3030303431322f32000000006a6f622d3030303431322f33000000006a6f622d"
+    "3030303431322f34000000006a6f622d3030303431322f35000000006a6f622d"
+    "3030303431322f36000000006a6f622d3030303431322f37000000006a6f622d"
+    "3030303431322f38000000006a6f622d3030303431322f39000000006a6f622d"
+    "3030303431322f31300000006a6f622d3030303431322f3131000000";
+
+constexpr const char* kMinimalReportFrame =
+    "b000000000000000150000000000000002000200080706050403020103000400"
+    "00000000050000001a00000004000000050005006e3200000000000000000000"
+    "0000000000000000000000000000000000000000000000000000000000000000"
+    "0000f0bf1100000022000000110000000a000000110000000a00000011000000"
+    "0a00000011000000070000006d2d310000000000000000000000000000000000"
+    "0000000000000000000000000000000002000100";
+
+constexpr const char* kReportResponseFrame =
+    "00010000000000001f0000000000000002000200080706050403020103000500"
+    "00000000050000001a00000004000000020002006e32000000000000a5010000"
+    "000000000084d97b890100000500000072000000090000006700000031302e30"
+    "2e302e323a373030310000000c00000003000100000000000000000001000000"
+    "000020000000000000000000210000006a000000010000000000000002000000"
+    "000000000000000000001e40190000006a000000020000000000000003000000"
+    "000000000000000000000000110000006a0000006a6f622d3030303431322f33"
+    "000000006a6f622d3030303431322f34000000006a6f622d3030303431322f35"
+    "00000000";
+
+TEST(GoldenMeshWire, AFrameWithoutBodyIsTheSameBytes) {
+  EXPECT_EQ(EncodedHex(Addressed()), kNoneFrame);
+  const MeshFrame frame = DecodedFrame(kNoneFrame);
+  ExpectAddressed(frame);
+  EXPECT_TRUE(std::holds_alternative<std::monostate>(frame.body));
+}
+
+TEST(GoldenMeshWire, APingIsTheSameBytes) {
+  MeshFrame frame = Addressed();
+  frame.body = FullPing();
+  EXPECT_EQ(EncodedHex(frame), kPingFrame);
+}
+
+TEST(GoldenMeshWire, APingIsReadIntoEveryField) {
+  const MeshFrame frame = DecodedFrame(kPingFrame);
+  ExpectAddressed(frame);
+  ASSERT_TRUE(std::holds_alternative<MeshPing>(frame.body));
+  const MeshPing& ping = std::get<MeshPing>(frame.body);
+  EXPECT_EQ(ping.label, "n1");
+  EXPECT_EQ(ping.instance, kLargeNumber);
+  EXPECT_TRUE(ping.leading);
+  EXPECT_FALSE(ping.holding);
+  EXPECT_TRUE(ping.informed);
+  EXPECT_EQ(ping.term, 102U);
+  EXPECT_EQ(ping.leader, "n0");
+  EXPECT_EQ(ping.reaches, (std::vector<std::string>{"n0", "n2"}));
+}
+
+TEST(GoldenMeshWire, APingOfAHolderThatDoesNotLeadIsTheSameBytes) {
+  MeshPing ping;
+  ping.holding = true;
+  MeshFrame frame = Addressed();
+  frame.body = ping;
+  EXPECT_EQ(EncodedHex(frame), kHolderPingFrame);
+  const MeshFrame read = DecodedFrame(kHolderPingFrame);
+  ASSERT_TRUE(std::holds_alternative<MeshPing>(read.body));
+  EXPECT_FALSE(std::get<MeshPing>(read.body).leading);
+  EXPECT_TRUE(std::get<MeshPing>(read.body).holding);
+  EXPECT_FALSE(std::get<MeshPing>(read.body).informed);
+}
+
+TEST(GoldenMeshWire, ASubmissionIsTheSameBytes) {
+  MeshFrame frame = Addressed();
+  frame.body = Submission();
+  EXPECT_EQ(EncodedHex(frame), kSubmissionFrame);
+}
+
+TEST(GoldenMeshWire, ASubmissionIsReadIntoEveryField) {
+  const MeshFrame frame = DecodedFrame(kSubmissionFrame);
+  ExpectAddressed(frame);
+  ASSERT_TRUE(std::holds_alternative<UserRequest>(frame.body));
+  const UserRequest& request = std::get<UserRequest>(frame.body);
+  EXPECT_EQ(request.op, UserOp::kSubmit);
+  EXPECT_EQ(request.id, "job-000412");
+  EXPECT_EQ(request.invalid, "");
+  ExpectSameJob(request.job, Submission().job);
+}
+
+TEST(GoldenMeshWire, AServiceOfAnyTypeWithoutDeadlineIsTheSameBytes) {
+  UserRequest request = Submission();
+  request.job = MinimalJob();
+  request.job.service = true;
+  request.job.priority = Priority::kProduction;
+  MeshFrame frame = Addressed();
+  frame.body = request;
+  EXPECT_EQ(EncodedHex(frame), kMinimalSubmissionFrame);
+  const MeshFrame read = DecodedFrame(kMinimalSubmissionFrame);
+  ASSERT_TRUE(std::holds_alternative<UserRequest>(read.body));
+  ExpectSameJob(std::get<UserRequest>(read.body).job, request.job);
+}
+
+TEST(GoldenMeshWire, AnInvalidSubmissionIsTheSameBytes) {
+  MeshFrame frame = Addressed();
+  frame.body = InvalidSubmission();
+  EXPECT_EQ(EncodedHex(frame), kInvalidSubmissionFrame);
+  const MeshFrame read = DecodedFrame(kInvalidSubmissionFrame);
+  ASSERT_TRUE(std::holds_alternative<UserRequest>(read.body));
+  const UserRequest& request = std::get<UserRequest>(read.body);
+  EXPECT_EQ(request.op, UserOp::kSubmit);
+  EXPECT_EQ(request.id, "job-7");
+  EXPECT_EQ(request.invalid, "missing or invalid: clase");
+}
+
+TEST(GoldenMeshWire, AnAnswerToAUserIsTheSameBytes) {
+  MeshFrame frame = Addressed();
+  frame.body = FullUserResponse();
+  EXPECT_EQ(EncodedHex(frame), kUserResponseFrame);
+}
+
+TEST(GoldenMeshWire, AnAnswerToAUserIsReadIntoEveryField) {
+  const MeshFrame frame = DecodedFrame(kUserResponseFrame);
+  ExpectAddressed(frame);
+  ASSERT_TRUE(std::holds_alternative<UserResponse>(frame.body));
+  const UserResponse& response = std::get<UserResponse>(frame.body);
+  EXPECT_EQ(response.status, 409);
+  EXPECT_EQ(response.state, JobState::kCancelled);
+  EXPECT_EQ(response.done, 70000U);
+  EXPECT_EQ(response.running, 9U);
+  EXPECT_EQ(response.error, "another job has this id");
+  EXPECT_EQ(response.retry_after_s, 5);
+}
+
+TEST(GoldenMeshWire, AReportIsTheSameBytes) {
+  MeshFrame frame = Addressed();
+  frame.body = FullReport();
+  EXPECT_EQ(EncodedHex(frame), kReportFrame);
+}
+
+TEST(GoldenMeshWire, AReportIsReadIntoEveryField) {
+  const MeshFrame frame = DecodedFrame(kReportFrame);
+  ExpectAddressed(frame);
+  ASSERT_TRUE(std::holds_alternative<Report>(frame.body));
+  ExpectSameReport(std::get<Report>(frame.body), FullReport());
+}
+
+TEST(GoldenMeshWire, AReportWithoutNoticeIsTheSameBytes) {
+  Report report;
+  report.machine = "m-1";
+  MeshFrame frame = Addressed();
+  frame.body = report;
+  EXPECT_EQ(EncodedHex(frame), kMinimalReportFrame);
+  const MeshFrame read = DecodedFrame(kMinimalReportFrame);
+  ASSERT_TRUE(std::holds_alternative<Report>(read.body));
+  ExpectSameReport(std::get<Report>(read.body), report);
+}
+
+TEST(GoldenMeshWire, AnAnswerToAReportIsTheSameBytes) {
+  MeshFrame frame = Addressed();
+  frame.body = FullReportResponse();
+  EXPECT_EQ(EncodedHex(frame), kReportResponseFrame);
+}
+
+TEST(GoldenMeshWire, AnAnswerToAReportIsReadIntoEveryField) {
+  const MeshFrame frame = DecodedFrame(kReportResponseFrame);
+  ExpectAddressed(frame);
+  ASSERT_TRUE(std::holds_alternative<ReportResponse>(frame.body));
+  const ReportResponse& response = std::get<ReportResponse>(frame.body);
+  EXPECT_EQ(response.status, 421);
+  EXPECT_EQ(response.token, 1690000000000U);
+  EXPECT_EQ(response.report_to, "10.0.0.2:7001");
+  ExpectSameCommands(response.commands, EveryCommand());
+}
+
+// Frames carry enumerators as numbers.
+TEST(GoldenMeshWire, EveryEnumeratorKeepsItsNumber) {
+  EXPECT_EQ(static_cast<int>(UserOp::kGet), 0);
+  EXPECT_EQ(static_cast<int>(UserOp::kCancel), 1);
+  EXPECT_EQ(static_cast<int>(UserOp::kSubmit), 2);
+  EXPECT_EQ(static_cast<int>(JobState::kPending), 0);
+  EXPECT_EQ(static_cast<int>(JobState::kRunning), 1);
+  EXPECT_EQ(static_cast<int>(JobState::kDone), 2);
+  EXPECT_EQ(static_cast<int>(JobState::kCancelled), 3);
+  EXPECT_EQ(static_cast<int>(Priority::kIdle), 0);
+  EXPECT_EQ(static_cast<int>(Priority::kNormal), 1);
+  EXPECT_EQ(static_cast<int>(Priority::kUrgent), 2);
+  EXPECT_EQ(static_cast<int>(Priority::kProduction), 3);
+  EXPECT_EQ(static_cast<int>(CommandOp::kStart), 0);
+  EXPECT_EQ(static_cast<int>(CommandOp::kStop), 1);
+  EXPECT_EQ(static_cast<int>(CommandOp::kForget), 2);
+  EXPECT_EQ(static_cast<int>(ExitWhy::kNone), 0);
+}
+
+}  // namespace
+}  // namespace deckhall
