--- a/src/api/front.cc
+++ b/src/api/front.cc
@@ -59,38 +59,38 @@
 
 void Front::Jobs(const HttpMessage& request, const std::string& path,
                  const HttpServer::Reply& reply) {
-  UserRequest ask;
+  JobRequest ask;
   if (path == kJobsPath) {
     if (request.method != "POST") {
       reply(WrongMethod("POST"));
       return;
     }
-    ask.op = UserOp::kSubmit;
-    ask.invalid = ParseJob(request.body, &ask.id, &ask.job);
+    ask.operation = JobOperation::kSubmit;
+    ask.validation_error = ParseJob(request.body, &ask.job_id, &ask.job);
     // Without a usable id nobody can know the job.
-    if (ask.id.empty()) {
-      reply(Error(400, ask.invalid.c_str()));
+    if (ask.job_id.empty()) {
+      reply(Error(400, ask.validation_error.c_str()));
       return;
     }
     Ask(std::move(ask), reply);
     return;
   }
-  ask.id = path.substr(kJobsPath.size() + 1);
-  ask.op = UserOp::kGet;
-  if (ask.id.size() > kCancelEnd.size() && ask.id.ends_with(kCancelEnd)) {
-    ask.id.resize(ask.id.size() - kCancelEnd.size());
-    ask.op = UserOp::kCancel;
+  ask.job_id = path.substr(kJobsPath.size() + 1);
+  ask.operation = JobOperation::kGet;
+  if (ask.job_id.size() > kCancelEnd.size() && ask.job_id.ends_with(kCancelEnd)) {
+    ask.job_id.resize(ask.job_id.size() - kCancelEnd.size());
+    ask.operation = JobOperation::kCancel;
   }
-  if (ask.id.find('/') != std::string::npos) {
+  if (ask.job_id.find('/') != std::string::npos) {
     reply(Error(404, "no such path"));
     return;
   }
-  const char* method = ask.op == UserOp::kGet ? "GET" : "POST";
+  const char* method = ask.operation == JobOperation::kGet ? "GET" : "POST";
   if (request.method != method) {
     reply(WrongMethod(method));
     return;
   }
-  if (!ValidJobId(ask.id)) {
+  if (!ValidJobId(ask.job_id)) {
     // Can never have been accepted.
     reply(Error(404, "no such job"));
     return;
@@ -98,17 +98,17 @@
   Ask(std::move(ask), reply);
 }
 
-void Front::Ask(UserRequest ask, const HttpServer::Reply& reply) {
+void Front::Ask(JobRequest ask, const HttpServer::Reply& reply) {
   const double began = clock_->Now();
-  UserRequest head;
-  head.op = ask.op;
-  head.id = ask.id;
-  backend_.user(std::move(ask), [this, head, began, reply](const UserResponse& r) {
+  JobRequest head;
+  head.operation = ask.operation;
+  head.job_id = ask.job_id;
+  backend_.user(std::move(ask), [this, head, began, reply](const JobResponse& r) {
     HttpAnswer a;
     a.status = r.status;
     a.retry_after_s = r.retry_after_s;
-    a.body = EncodeUserResponse(head, r);
-    if (head.op == UserOp::kSubmit) {
+    a.body = EncodeJobResponse(head, r);
+    if (head.operation == JobOperation::kSubmit) {
       ++submits_;
       if (r.status >= 300) ++refusals_;
       submit_ms_((clock_->Now() - began) * 1000 + 0.5);
@@ -118,16 +118,16 @@
 }
 
 void Front::CheckIn(const HttpMessage& request, const HttpServer::Reply& reply) {
-  Report report;
-  if (!DecodeReport(request.body, &report)) {
+  Heartbeat report;
+  if (!DecodeHeartbeat(request.body, &report)) {
     spdlog::warn("a report is malformed");
     reply(Error(400, "malformed report"));
     return;
   }
-  backend_.report(std::move(report), [reply](const ReportResponse& r) {
+  backend_.report(std::move(report), [reply](const HeartbeatResponse& r) {
     HttpAnswer a;
     a.status = r.status;
-    a.body = EncodeReportResponse(r);
+    a.body = EncodeHeartbeatResponse(r);
     reply(a);
   });
 }
--- a/src/api/front.h
+++ b/src/api/front.h
@@ -13,11 +13,11 @@
 
 class Front {
  public:
-  using UserDone = std::function<void(UserResponse)>;
-  using ReportDone = std::function<void(ReportResponse)>;
+  using UserDone = std::function<void(JobResponse)>;
+  using ReportDone = std::function<void(HeartbeatResponse)>;
   struct Backend {
-    std::function<void(UserRequest, UserDone)> user;
-    std::function<void(Report, ReportDone)> report;
+    std::function<void(JobRequest, UserDone)> user;
+    std::function<void(Heartbeat, ReportDone)> report;
     std::function<bool()> up;
   };
 
@@ -29,7 +29,7 @@
 
  private:
   void Jobs(const HttpMessage& request, const std::string& path, const HttpServer::Reply& reply);
-  void Ask(UserRequest ask, const HttpServer::Reply& reply);
+  void Ask(JobRequest ask, const HttpServer::Reply& reply);
   void CheckIn(const HttpMessage& request, const HttpServer::Reply& reply);
 
   const Clock* clock_;
--- a/src/app/controller.cc
+++ b/src/app/controller.cc
@@ -48,7 +48,7 @@
             [this](Mesh::Body body, const Mesh::Reply& reply) { Served(std::move(body), reply); }),
       health_(settings_.label),
       relay_(&mesh_, ports.clock,
-             [this](const UserRequest& request, const UserDone& done) {
+             [this](const JobRequest& request, const UserDone& done) {
                return ServeHere(request, done);
              }),
       policy_(ports.state, ports.clock, &settings_),
@@ -124,20 +124,21 @@
   return false;
 }
 
-bool Controller::ServeHere(const UserRequest& request, const UserDone& done) {
+bool Controller::ServeHere(const JobRequest& request, const UserDone& done) {
   if (!leader_ || !leader_->loaded()) return false;
   leader_->User(request, done);
   on_work();
   return true;
 }
 
-void Controller::User(UserRequest request, UserDone done) {
-  const bool status = request.op == UserOp::kGet;
-  if (status && !AdmitStatusRequest(request.id)) {
-    done(Unavailable("too many status requests at once", kStatusRetryAfter));
+void Controller::User(JobRequest request, UserDone done) {
+  const bool status = request.operation == JobOperation::kGet;
+  if (status && !AdmitStatusRequest(request.job_id)) {
+    done(UnavailableResponse("too many status requests at once", kStatusRetryAfter));
     return;
   }
-  auto answered = [this, job = request.id, done = std::move(done)](const UserResponse& response) {
+  auto answered = [this, job = request.job_id,
+                   done = std::move(done)](const JobResponse& response) {
     if (response.status == 200 || response.status == 201 || response.status == 404) {
       status_budget_.Answered(job, response.status != 404, ports_.clock->Now());
     }
@@ -153,7 +154,7 @@
               std::move(answered));
 }
 
-void Controller::CheckIn(Report report, ReportDone done) {
+void Controller::CheckIn(Heartbeat report, ReportDone done) {
   if (leader_) {
     done(leader_->OnReport(report));
     on_work();
@@ -161,29 +162,29 @@
   }
   const std::string to = mesh_.Leader();
   if (to.empty() || to == settings_.label) {
-    ReportResponse reply;
+    HeartbeatResponse reply;
     // The way between controllers is shut, but the state service knows who leads:
     // the worker may reach it.
     const std::string& known = election_.leader_label();
     if (known != settings_.label && mesh_.Refuses(known)) {
       reply.status = 421;
-      reply.report_to = known;
+      reply.redirect_to = known;
     }
     done(reply);
     return;
   }
   mesh_.Ask(to, std::move(report), kReportRelayTimeout, [done = std::move(done)](Mesh::Body body) {
-    auto* reply = std::get_if<ReportResponse>(&body);
-    done(reply == nullptr ? ReportResponse() : *reply);
+    auto* reply = std::get_if<HeartbeatResponse>(&body);
+    done(reply == nullptr ? HeartbeatResponse() : *reply);
   });
 }
 
 void Controller::Served(Mesh::Body body, const Mesh::Reply& reply) {
-  if (auto* ask = std::get_if<UserRequest>(&body)) {
-    if (!ServeHere(*ask, [reply](const UserResponse& r) { reply(r); })) reply(NoLeaderResponse());
-  } else if (auto* report = std::get_if<Report>(&body)) {
+  if (auto* ask = std::get_if<JobRequest>(&body)) {
+    if (!ServeHere(*ask, [reply](const JobResponse& r) { reply(r); })) reply(NoLeaderResponse());
+  } else if (auto* report = std::get_if<Heartbeat>(&body)) {
     if (!leader_) {
-      reply(ReportResponse());
+      reply(HeartbeatResponse());
       return;
     }
     reply(leader_->OnReport(*report));
--- a/src/app/controller.h
+++ b/src/app/controller.h
@@ -35,8 +35,8 @@
 
 class Controller : public LeaseView {
  public:
-  using UserDone = std::function<void(const UserResponse&)>;
-  using ReportDone = std::function<void(const ReportResponse&)>;
+  using UserDone = std::function<void(const JobResponse&)>;
+  using ReportDone = std::function<void(const HeartbeatResponse&)>;
 
   Controller(const ControllerPorts& ports, Settings settings, Tuning tuning, uint64_t instance);
   ~Controller() override;
@@ -48,8 +48,8 @@
   void OfferPolicy(std::shared_ptr<const DisruptionPolicy> policy) {
     policy_.Offer(std::move(policy));
   }
-  void User(UserRequest ask, UserDone done);
-  void CheckIn(Report report, ReportDone done);
+  void User(JobRequest ask, UserDone done);
+  void CheckIn(Heartbeat report, ReportDone done);
   bool Up() const { return health_.Up(ports_.clock->Now()); }
   Mesh& mesh() { return mesh_; }
   const Election& election() const { return election_; }
@@ -68,7 +68,7 @@
   // Whether the status request is taken; otherwise it is refused at once.
   bool AdmitStatusRequest(const std::string& job);
   // Serves the request if this controller leads.
-  bool ServeHere(const UserRequest& request, const UserDone& done);
+  bool ServeHere(const JobRequest& request, const UserDone& done);
   void Served(Mesh::Body body, const Mesh::Reply& reply);
 
   ControllerPorts ports_;
--- a/src/app/drains_command.cc
+++ b/src/app/drains_command.cc
@@ -92,7 +92,7 @@
         loop.Stop();
         return;
       }
-      for (const KvRow& row : answer.rows) ReadDrainRows(row.value, &records);
+      for (const KeyValue& row : answer.rows) ReadDrainRows(row.value, &records);
       if (answer.truncated && !answer.rows.empty()) {
         list(answer.rows.back().key);
         return;
--- a/src/app/process.cc
+++ b/src/app/process.cc
@@ -32,10 +32,10 @@
       links_(loop, &clock_, settings.mesh_addr, settings.siblings),
       controller_({&state_, &cloud_, &workers_, &links_, &clock_}, settings, tuning,
                   RandomInstance()),
-      front_(&clock_, {[this](UserRequest a, Front::UserDone d) {
+      front_(&clock_, {[this](JobRequest a, Front::UserDone d) {
                          controller_.User(std::move(a), std::move(d));
                        },
-                       [this](Report r, Front::ReportDone d) {
+                       [this](Heartbeat r, Front::ReportDone d) {
                          controller_.CheckIn(std::move(r), std::move(d));
                        },
                        [this] { return controller_.Up(); }}),
--- a/src/app/user_relay.cc
+++ b/src/app/user_relay.cc
@@ -12,12 +12,12 @@
 
 }  // namespace
 
-UserResponse NoLeaderResponse() { return Unavailable("no leader can be reached"); }
+JobResponse NoLeaderResponse() { return UnavailableResponse("no leader can be reached"); }
 
 UserRelay::UserRelay(Mesh* mesh, const Clock* clock, ServeHere serve_here)
     : mesh_(mesh), clock_(clock), serve_here_(std::move(serve_here)) {}
 
-void UserRelay::Send(UserRequest request, double timeout_s, Done done) {
+void UserRelay::Send(JobRequest request, double timeout_s, Done done) {
   Tick();
   const uint64_t id = next_id_++;
   pending_[id] = {std::move(request), std::move(done), "", clock_->Now() + timeout_s};
@@ -32,12 +32,12 @@
     const auto it = pending_.find(id);
     // What a former leader says no longer counts: the next one may have decided since.
     if (it == pending_.end() || it->second.target != target) return;
-    const auto* response = std::get_if<UserResponse>(&body);
+    const auto* response = std::get_if<JobResponse>(&body);
     Finish(id, response == nullptr ? NoLeaderResponse() : *response);
   });
 }
 
-void UserRelay::Finish(uint64_t id, const UserResponse& response) {
+void UserRelay::Finish(uint64_t id, const JobResponse& response) {
   const auto it = pending_.find(id);
   if (it == pending_.end()) return;
   const Done done = std::move(it->second.done);
@@ -51,8 +51,8 @@
     if (pending.target != leader) elsewhere.push_back(id);
   }
   for (const uint64_t id : elsewhere) {
-    const UserRequest request = pending_.at(id).request;
-    const auto done = [this, id](const UserResponse& response) { Finish(id, response); };
+    const JobRequest request = pending_.at(id).request;
+    const auto done = [this, id](const JobResponse& response) { Finish(id, response); };
     if (!serve_here_(request, done)) {
       SendTo(id, leader);
       continue;
--- a/src/app/user_relay.h
+++ b/src/app/user_relay.h
@@ -17,28 +17,28 @@
 // leader counts. When nobody leads any more, the user gets 503 soon and comes again.
 class UserRelay {
  public:
-  using Done = std::function<void(const UserResponse&)>;
+  using Done = std::function<void(const JobResponse&)>;
   // Serves a request here; false when this controller does not lead.
-  using ServeHere = std::function<bool(const UserRequest&, const Done&)>;
+  using ServeHere = std::function<bool(const JobRequest&, const Done&)>;
 
   UserRelay(Mesh* mesh, const Clock* clock, ServeHere serve_here);
 
   // Calls `done` once: at the latest after `timeout_s`, or, if this controller leads by then,
   // when the leader here has decided.
-  void Send(UserRequest request, double timeout_s, Done done);
+  void Send(JobRequest request, double timeout_s, Done done);
   // Follows changes of the leader; called often.
   void Tick();
 
  private:
   struct Pending {
-    UserRequest request;
+    JobRequest request;
     Done done;
     std::string target;  // the controller that was asked last
     double deadline = 0;
   };
 
   void SendTo(uint64_t id, const std::string& target);
-  void Finish(uint64_t id, const UserResponse& response);
+  void Finish(uint64_t id, const JobResponse& response);
   // Sends on what another controller than the present leader was asked.
   void Redirect(const std::string& leader);
 
@@ -52,6 +52,6 @@
 };
 
 // The answer while no leader can be reached.
-UserResponse NoLeaderResponse();
+JobResponse NoLeaderResponse();
 
 }  // namespace deckhall
--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -44,10 +44,10 @@
 
 void CloudClient::Rent(const std::string& request, const std::string& type, const std::string& zone,
                        bool spot, int count, std::function<void(RentAnswer)> done) {
-  Ask({"POST", "/machines", EncodeRental(request, type, zone, spot, count), kTimeout}, 0,
+  Ask({"POST", "/machines", EncodeScaleOut(request, type, zone, spot, count), kTimeout}, 0,
       [done = std::move(done)](const HttpResult& r) {
         RentAnswer answer;
-        answer.ok = r.status == 200 && DecodeRented(r.body, &answer.machines);
+        answer.ok = r.status == 200 && DecodeScaleOutResponse(r.body, &answer.machines);
         answer.refused = r.status == 503 && r.body.find("no capacity") != std::string::npos;
         answer.malformed = r.status == 400;
         if (r.status == 200 && !answer.ok) spdlog::warn("cloud: unusable answer to a rental");
@@ -57,17 +57,17 @@
 }
 
 void CloudClient::Return(const std::vector<std::string>& machines, std::function<void(bool)> done) {
-  Ask({"POST", "/machines/return", EncodeReturn(machines), kTimeout}, 0,
+  Ask({"POST", "/machines/return", EncodeScaleIn(machines), kTimeout}, 0,
       [done = std::move(done)](const HttpResult& r) { done(r.status == 200); });
 }
 
 void CloudClient::List(const std::string& after,
-                       std::function<void(bool, std::vector<ListedMachine>, bool)> done) {
-  Ask({"GET", ListPath(after, 500), "", kTimeout}, 1,
+                       std::function<void(bool, std::vector<CloudInstance>, bool)> done) {
+  Ask({"GET", InstanceListPath(after, 500), "", kTimeout}, 1,
       [done = std::move(done)](const HttpResult& r) {
-        std::vector<ListedMachine> rows;
+        std::vector<CloudInstance> rows;
         bool truncated = false;
-        const bool ok = r.status == 200 && DecodeMachineList(r.body, &rows, &truncated);
+        const bool ok = r.status == 200 && DecodeInstanceList(r.body, &rows, &truncated);
         if (r.status == 200 && !ok) spdlog::warn("cloud: unusable machine list");
         done(ok, std::move(rows), truncated);
       });
--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -16,7 +16,7 @@
             int count, std::function<void(RentAnswer)> done) override;
   void Return(const std::vector<std::string>& machines, std::function<void(bool)> done) override;
   void List(const std::string& after,
-            std::function<void(bool, std::vector<ListedMachine>, bool)> done) override;
+            std::function<void(bool, std::vector<CloudInstance>, bool)> done) override;
 
  private:
   void Ask(const HttpCall& call, double reserve, HttpClient::Done done);
--- a/src/cloud/cloud_port.h
+++ b/src/cloud/cloud_port.h
@@ -26,7 +26,7 @@
                       std::function<void(bool ok)> done) = 0;
   virtual void List(
       const std::string& after,
-      std::function<void(bool ok, std::vector<ListedMachine>, bool truncated)> done) = 0;
+      std::function<void(bool ok, std::vector<CloudInstance>, bool truncated)> done) = 0;
 };
 
 }  // namespace deckhall
--- a/src/cloud/rentals.cc
+++ b/src/cloud/rentals.cc
@@ -294,7 +294,7 @@
   }
 }
 
-MachIdx Rentals::Unexpected(const Report& r) {
+MachIdx Rentals::Unexpected(const Heartbeat& r) {
   const MachIdx mi = fleet_->Add(r.machine);
   Machine& m = (*fleet_)[mi];
   m.type = book_->types.Add(r.type);
@@ -362,7 +362,7 @@
 
 void Rentals::AskList(const std::string& after) {
   listing_ = true;
-  cloud_->List(after, [this](bool ok, const std::vector<ListedMachine>& rows, bool truncated) {
+  cloud_->List(after, [this](bool ok, const std::vector<CloudInstance>& rows, bool truncated) {
     listing_ = false;
     next_list_ = clock_->Now() + options_.list_every_s;
     if (!ok) {
@@ -374,11 +374,11 @@
   });
 }
 
-void Rentals::Listed(const std::vector<ListedMachine>& rows) {
-  for (const ListedMachine& row : rows) {
+void Rentals::Listed(const std::vector<CloudInstance>& rows) {
+  for (const CloudInstance& row : rows) {
     MachIdx mi = fleet_->Find(row.name);
     if (mi == kNone) {
-      if (row.state == ListedState::kFailed) {
+      if (row.state == InstanceState::kFailed) {
         mi = fleet_->Add(row.name);
         (*fleet_)[mi].accounted = true;
         Return(mi, "failed, and not known here");
@@ -406,7 +406,7 @@
     Machine& m = (*fleet_)[mi];
     if (m.gone || m.returning) continue;
     m.listed = true;
-    if (row.state == ListedState::kFailed) {
+    if (row.state == InstanceState::kFailed) {
       fleet_->LoseAll(mi, "the machine failed");
       fleet_->Account(mi);
       Return(mi, "failed");
--- a/src/cloud/rentals.h
+++ b/src/cloud/rentals.h
@@ -50,7 +50,7 @@
   void Rent(uint32_t pool, int count, const std::string& why);
   void Return(MachIdx m, const char* why);
   // A machine reported that nobody knows.
-  MachIdx Unexpected(const Report& report);
+  MachIdx Unexpected(const Heartbeat& report);
   // Keeps what is known of a machine; false until that is durable.
   void SaveMachine(MachIdx m, WriteUrgency urgency);
 
@@ -74,7 +74,7 @@
   void SendReturns();
   void AskTypes();
   void AskList(const std::string& after);
-  void Listed(const std::vector<ListedMachine>& rows);
+  void Listed(const std::vector<CloudInstance>& rows);
   Pool* PoolOf(const std::string& type, const std::string& zone, bool spot);
 
   CloudPort* cloud_;
--- a/src/drain/drainer_steps.cc
+++ b/src/drain/drainer_steps.cc
@@ -18,7 +18,7 @@
 }  // namespace
 
 double Drainer::GraceOf(const Job& job) {
-  return job.spec.checkpoint_s > 0 ? job.spec.save_s + kSaveMargin : 0;
+  return job.spec.checkpoint_interval_s > 0 ? job.spec.checkpoint_grace_s + kSaveMargin : 0;
 }
 
 PlacedAttempt* Drainer::SlotOf(const DrainStep& step) {
--- a/src/drain/policy_replicator.cc
+++ b/src/drain/policy_replicator.cc
@@ -63,7 +63,7 @@
     Write(0);
     return;
   }
-  const KvRow& row = answer.rows.front();
+  const KeyValue& row = answer.rows.front();
   rapidjson::Document doc;
   uint64_t revision = 0;
   std::string text;
@@ -107,9 +107,9 @@
 }
 
 void PolicyReplicator::Write(uint64_t version) {
-  Txn txn;
-  txn.conditions.push_back({kKey, version});
-  txn.writes.push_back({kKey, EncodePolicy(*local_), 0});
+  Transaction txn;
+  txn.preconditions.push_back({kKey, version});
+  txn.mutations.push_back({kKey, EncodePolicy(*local_), 0});
   busy_ = true;
   state_->Commit(txn, [this](const StateAnswer& answer) {
     busy_ = false;
--- a/src/fleet/fleet.cc
+++ b/src/fleet/fleet.cc
@@ -161,22 +161,23 @@
   Changed(mi);
 }
 
-PlacedAttempt* Fleet::FindAttempt(Machine& m, const TaskReport& t) {
+PlacedAttempt* Fleet::FindAttempt(Machine& m, const TaskStatus& t) {
   for (PlacedAttempt& s : m.attempts) {
-    if (s.attempt == t.attempt && s.name == t.task) return &s;
+    if (s.attempt == t.attempt && s.name == t.task_name) return &s;
   }
   return nullptr;
 }
 
-bool Fleet::Process(MachIdx mi, const Report& r) {
+bool Fleet::Process(MachIdx mi, const Heartbeat& r) {
   Machine& m = machines_[mi];
   const double now = clock_->Now();
   // Reports and answers overtake each other; the larger (session, seq) is newer.
-  if (r.session < m.session || (r.session == m.session && r.seq <= m.seq)) {
+  if (r.agent_epoch < m.session || (r.agent_epoch == m.session && r.sequence <= m.seq)) {
     // A late copy, or the word of a worker that began anew under the old name. Only
     // an answer to a question of ours tells them apart.
     constexpr uint64_t kOvertaken = 16;
-    if (r.session < m.session || r.seq + kOvertaken < m.seq || r.token < m.seen_token) {
+    if (r.agent_epoch < m.session || r.sequence + kOvertaken < m.seq ||
+        r.fencing_token < m.seen_token) {
       m.suspect = true;
     }
     return false;
@@ -188,39 +189,39 @@
     m.up_at = now;
     Changed(mi);
   }
-  if (r.session > m.session) {
+  if (r.agent_epoch > m.session) {
     if (!m.attempts.empty()) LoseAll(mi, "a new session began there");
     // Its lease ran out, so our answers may not reach it: reports alone are no proof
     // that it hears. It gets nothing before it has shown a token younger than this.
     ++m.token;
     Changed(mi);
   }
-  m.session = r.session;
-  m.seq = r.seq;
-  if (!Hears(m) && r.token >= m.token) {
+  m.session = r.agent_epoch;
+  m.seq = r.sequence;
+  if (!Hears(m) && r.fencing_token >= m.token) {
     m.hears_at = now;
     m.failing_since = -1;
     m.fails = 0;
     Changed(mi);
   }
-  m.seen_token = std::max(m.seen_token, r.token);
+  m.seen_token = std::max(m.seen_token, r.fencing_token);
   // A token of this term that we never gave out can only be a twin of ours from
   // a message that overtook; stay above it.
-  if (TermOf(r.token) == term_ && r.token > m.token) m.token = r.token;
-  if (r.notice_s && m.notice_until < 0) {
-    m.notice_until = now + *r.notice_s;
+  if (TermOf(r.fencing_token) == term_ && r.fencing_token > m.token) m.token = r.fencing_token;
+  if (r.preemption_notice_s && m.notice_until < 0) {
+    m.notice_until = now + *r.preemption_notice_s;
     Changed(mi);
-    spdlog::info("machine {}: the cloud takes it in {} s", m.name, *r.notice_s);
+    spdlog::info("machine {}: the cloud takes it in {} s", m.name, *r.preemption_notice_s);
   }
   if (!m.accounted) {
     // Until the worker has seen this term's token, a former leader's command may
     // still change what is on it.
-    if (TermOf(r.token) < term_) return true;
+    if (TermOf(r.fencing_token) < term_) return true;
     Account(mi);
   }
   std::vector<char> listed(m.attempts.size(), 0);
   const size_t known = m.attempts.size();
-  for (const TaskReport& t : r.tasks) {
+  for (const TaskStatus& t : r.tasks) {
     PlacedAttempt* slot = FindAttempt(m, t);
     if (slot == nullptr) {
       Adopt(mi, t);
@@ -237,7 +238,7 @@
       // Cleared, or lost there.
       if (!slot.gone) FreeTask(mi, slot);
       EraseAttempt(mi, i);
-    } else if (slot.launch_token == 0 || slot.launch_token < r.token) {
+    } else if (slot.launch_token == 0 || slot.launch_token < r.fencing_token) {
       // Never sent, or the worker's higher token keeps that launch out for good.
       slot.launch_token = 0;
       if (!slot.keep) {
@@ -268,18 +269,18 @@
   }
 }
 
-void Fleet::BeganAnew(MachIdx mi, const Report& r) {
+void Fleet::BeganAnew(MachIdx mi, const Heartbeat& r) {
   Machine& m = machines_[mi];
-  spdlog::info("machine {}: its worker began anew (session {}, number {})", m.name, r.session,
-               r.seq);
+  spdlog::info("machine {}: its worker began anew (session {}, number {})", m.name, r.agent_epoch,
+               r.sequence);
   LoseAll(mi, "its worker began anew");
-  m.session = r.session;
-  m.seq = r.seq - 1;
-  m.seen_token = r.token;
+  m.session = r.agent_epoch;
+  m.seq = r.sequence - 1;
+  m.seen_token = r.fencing_token;
   Changed(mi);
 }
 
-void Fleet::Answered(MachIdx mi, const Report& r, Stamp asked) {
+void Fleet::Answered(MachIdx mi, const Heartbeat& r, Stamp asked) {
   Machine& m = machines_[mi];
   m.hears_at = clock_->Now();
   m.failing_since = -1;
@@ -288,8 +289,8 @@
   m.probe_fails = 0;
   // The worker we knew would have counted on from what we had seen before we asked.
   const bool older =
-      r.session < asked.session || (r.session == asked.session && r.seq <= asked.seq);
-  if (older && r.seq > 0) BeganAnew(mi, r);
+      r.agent_epoch < asked.session || (r.agent_epoch == asked.session && r.sequence <= asked.seq);
+  if (older && r.sequence > 0) BeganAnew(mi, r);
   Process(mi, r);
 }
 
@@ -308,7 +309,7 @@
   }
 }
 
-void Fleet::Apply(MachIdx mi, PlacedAttempt* slot, const TaskReport& t) {
+void Fleet::Apply(MachIdx mi, PlacedAttempt* slot, const TaskStatus& t) {
   Machine& m = machines_[mi];
   slot->seen = true;
   if (slot->gone) return;
@@ -320,27 +321,28 @@
     NoteChange(*slot);
   }
   slot->state = t.state;
-  if (slot->job != kNone && t.state != TaskState::kFetching && t.why != ExitWhy::kNoRoom &&
-      t.why != ExitWhy::kInUse && t.why != ExitWhy::kUnknown) {
+  if (slot->job != kNone && t.state != TaskState::kFetching &&
+      t.exit_reason != ExitReason::kNoRoom && t.exit_reason != ExitReason::kInUse &&
+      t.exit_reason != ExitReason::kUnknown) {
     Remember(&m.images, (*book_)[slot->job].image);
   }
   if (t.state == TaskState::kRunning) RecountRunning(slot, true);
   if (t.state == TaskState::kExited) {
-    slot->why = t.why;
+    slot->why = t.exit_reason;
     Exited(mi, slot);
   }
 }
 
-void Fleet::Adopt(MachIdx mi, const TaskReport& t) {
+void Fleet::Adopt(MachIdx mi, const TaskStatus& t) {
   Machine& m = machines_[mi];
   PlacedAttempt slot;
-  slot.name = t.task;
+  slot.name = t.task_name;
   slot.attempt = t.attempt;
   slot.seen = true;
   slot.launched_at = clock_->Now();
   std::string id;
   uint32_t task = 0;
-  const JobIdx j = SplitTask(t.task, &id, &task) ? book_->Find(id) : kNone;
+  const JobIdx j = SplitTask(t.task_name, &id, &task) ? book_->Find(id) : kNone;
   const bool known = j != kNone && (*book_)[j].full && task < (*book_)[j].tasks.size();
   if (known) {
     const Job& job = (*book_)[j];
@@ -361,7 +363,7 @@
     slot.keep = false;
   }
   if (!slot.keep && t.state != TaskState::kExited) {
-    spdlog::info("machine {}: {} (attempt {}) is not wanted there", m.name, t.task, t.attempt);
+    spdlog::info("machine {}: {} (attempt {}) is not wanted there", m.name, t.task_name, t.attempt);
   }
   Apply(mi, &AddAttempt(mi, std::move(slot)), t);
 }
@@ -385,7 +387,7 @@
   if (slot->job != kNone && (*book_)[slot->job].full) {
     Job& job = (*book_)[slot->job];
     Task& t = job.tasks[slot->task];
-    if (slot->why == ExitWhy::kDone && !job.spec.service) {
+    if (slot->why == ExitReason::kDone && !job.spec.service) {
       if (!job.spec.gang && t.phase == TaskPhase::kPlaced &&
           (t.machine != mi || t.attempt != slot->attempt)) {
         // Done here while another attempt is wanted elsewhere: that one goes.
@@ -472,19 +474,19 @@
 bool Fleet::MayForget(const PlacedAttempt& s) const {
   if (!s.gone) return false;
   // A finished task is durable before its machine forgets it.
-  if (s.why != ExitWhy::kDone || s.job == kNone) return true;
+  if (s.why != ExitReason::kDone || s.job == kNone) return true;
   return book_->TaskDurable(s.job, s.task);
 }
 
-std::vector<Command> Fleet::StopsOfEnded(const Report& report) const {
+std::vector<Command> Fleet::StopsOfEnded(const Heartbeat& report) const {
   std::vector<Command> out;
-  for (const TaskReport& t : report.tasks) {
+  for (const TaskStatus& t : report.tasks) {
     std::string id;
     uint32_t task = 0;
-    if (t.state == TaskState::kExited || !SplitTask(t.task, &id, &task)) continue;
+    if (t.state == TaskState::kExited || !SplitTask(t.task_name, &id, &task)) continue;
     const JobIdx j = book_->Find(id);
     if (j == kNone || (*book_)[j].life == JobLife::kLive) continue;
-    out.push_back({CommandOp::kStop, t.task, t.attempt, 0});
+    out.push_back({CommandOp::kStop, t.task_name, t.attempt, 0});
   }
   return out;
 }
@@ -531,7 +533,7 @@
   }
   for (PlacedAttempt& s : m.attempts) {
     if (s.gone && MayForget(s)) {
-      out.push_back({CommandOp::kForget, s.name, s.attempt, 0});
+      out.push_back({CommandOp::kAcknowledgeExit, s.name, s.attempt, 0});
     } else if (!s.gone && !s.keep && s.seen && now - s.stop_sent > kStopAgain) {
       out.push_back(StopOf(&s));
       s.stop_sent = now;
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -62,10 +62,10 @@
 
   // Takes in a report or a command's answer. False when it is older than what is
   // known already.
-  bool Process(MachIdx m, const Report& report);
+  bool Process(MachIdx m, const Heartbeat& report);
   // The same for an answer to a question asked when `asked` was the newest known:
   // shows that the machine hears, and whether its worker began anew meanwhile.
-  void Answered(MachIdx m, const Report& report, Stamp asked);
+  void Answered(MachIdx m, const Heartbeat& report, Stamp asked);
   Stamp StampOf(MachIdx m) const { return {machines_[m].session, machines_[m].seq}; }
   // A question stayed unanswered.
   void ProbeFailed(MachIdx m);
@@ -87,7 +87,7 @@
   // The stops alone, told before or not: an earlier one may be lost on its way.
   std::vector<Command> Stops(MachIdx m);
   // Stops for what the report lists of jobs that are over, whoever started it.
-  std::vector<Command> StopsOfEnded(const Report& report) const;
+  std::vector<Command> StopsOfEnded(const Heartbeat& report) const;
   // True when there is something to tell it.
   bool HasCommands(MachIdx m, bool launch) const;
   // An answer to a command is missing: what was sent may still come.
@@ -119,9 +119,9 @@
   bool changed = false;
 
  private:
-  PlacedAttempt* FindAttempt(Machine& m, const TaskReport& t);
-  void Adopt(MachIdx m, const TaskReport& t);
-  void Apply(MachIdx m, PlacedAttempt* slot, const TaskReport& t);
+  PlacedAttempt* FindAttempt(Machine& m, const TaskStatus& t);
+  void Adopt(MachIdx m, const TaskStatus& t);
+  void Apply(MachIdx m, PlacedAttempt* slot, const TaskStatus& t);
   void Exited(MachIdx m, PlacedAttempt* slot);
   void FreeTask(MachIdx m, const PlacedAttempt& slot);
   void RecountRunning(PlacedAttempt* slot, bool now_running);
@@ -137,7 +137,7 @@
   // Tells the observer that the attempt's condition changed, or that it was ended early.
   void NoteChange(const PlacedAttempt& slot);
   void NoteEarlyEnd(const PlacedAttempt& slot);
-  void BeganAnew(MachIdx m, const Report& report);
+  void BeganAnew(MachIdx m, const Heartbeat& report);
 
   JobBook* book_;
   const Clock* clock_;
--- a/src/fleet/model.h
+++ b/src/fleet/model.h
@@ -121,7 +121,7 @@
   uint64_t launch_token = 0;  // of the last launch sent; 0: none
   bool seen = false;
   TaskState state = TaskState::kFetching;
-  ExitWhy why = ExitWhy::kNone;
+  ExitReason why = ExitReason::kNone;
   bool gone = false;  // exited; no longer takes room
   double launched_at = 0;
   double running_since = -1;
--- a/src/fleet/worker_client.cc
+++ b/src/fleet/worker_client.cc
@@ -16,7 +16,7 @@
     WorkerAnswer answer;
     answer.sent = r.sent;
     if (r.status == 200 || r.status == 409) {
-      answer.has_report = DecodeReport(r.body, &answer.report);
+      answer.has_report = DecodeHeartbeat(r.body, &answer.report);
       if (!answer.has_report) spdlog::warn("worker at {} answers no report", endpoint);
     }
     if (answer.has_report) answer.status = r.status;
--- a/src/fleet/worker_port.h
+++ b/src/fleet/worker_port.h
@@ -13,7 +13,7 @@
   int status = 0;     // 0: no usable answer
   bool sent = false;  // false: nothing can have reached the worker
   bool has_report = false;
-  Report report;
+  Heartbeat report;
 };
 
 class WorkerPort {
--- a/src/leader/election.cc
+++ b/src/leader/election.cc
@@ -72,7 +72,7 @@
     Retry(0.03);
     return;
   }
-  const KvRow& row = answer.rows[0];
+  const KeyValue& row = answer.rows[0];
   if (on_known) on_known(row.version);
   rapidjson::Document doc;
   std::string label;
@@ -146,9 +146,9 @@
   lease_ = lease;
   granted_at_ = sent;
   const uint64_t epoch = ++epoch_;
-  Txn txn;
-  txn.conditions.push_back({kKey, 0});
-  txn.writes.push_back({kKey, Holder(options_, lease), lease});
+  Transaction txn;
+  txn.preconditions.push_back({kKey, 0});
+  txn.mutations.push_back({kKey, Holder(options_, lease), lease});
   state_->Commit(txn, [this, epoch](const StateAnswer& answer) {
     if (epoch != epoch_) return;
     busy_ = false;
--- a/src/leader/free_capacity.cc
+++ b/src/leader/free_capacity.cc
@@ -27,7 +27,7 @@
 }
 
 bool FreeCapacity::MayBeOn(const Job& job, const Machine& m) {
-  if (m.spot && !job.spec.spot) return false;
+  if (m.spot && !job.spec.spot_tolerant) return false;
   if (job.zone != kNone && m.zone != kNone && job.zone != m.zone) return false;
   if (job.types.empty() || m.type == kNone) return true;
   return m.type < job.types.size() && job.types[m.type] != 0;
@@ -170,7 +170,7 @@
   if (rate_at_ < 0) rate_at_ = now;
   service_rate_ *= std::exp(-(now - rate_at_) / kRateMemory);
   rate_at_ = now;
-  service_rate_ += job.spec.cores * job.spec.tasks / kRateMemory;
+  service_rate_ += job.spec.cores * job.spec.task_count / kRateMemory;
 }
 
 void FreeCapacity::CountUse() {
@@ -222,7 +222,7 @@
 
 bool FreeCapacity::ZoneRoom(const Job& job, const std::vector<uint32_t>& on,
                             std::vector<char>* zones) const {
-  if (!job.spec.one_zone && !job.spec.apart) return true;
+  if (!job.spec.single_zone && !job.spec.anti_affinity) return true;
   // A task that may be on an unknown machine is in an unknown zone.
   if (job.unseen > 0) return false;
   zones->assign(book_->zones.size(), 1);
@@ -233,8 +233,8 @@
   }
   const auto most = static_cast<uint32_t>((job.tasks.size() + 1) / 2);
   for (size_t z = 0; z < zones->size(); ++z) {
-    if (job.spec.apart && count[z] >= most) (*zones)[z] = 0;
-    if (job.spec.one_zone && !on.empty() && count[z] == 0) (*zones)[z] = 0;
+    if (job.spec.anti_affinity && count[z] >= most) (*zones)[z] = 0;
+    if (job.spec.single_zone && !on.empty() && count[z] == 0) (*zones)[z] = 0;
   }
   return true;
 }
@@ -247,7 +247,7 @@
   n.memory_gb = job.spec.memory_gb;
   n.types = job.types.empty() ? nullptr : &job.types;
   n.zone = job.zone;
-  n.spot_ok = job.spec.spot;
+  n.spot_ok = job.spec.spot_tolerant;
   n.service = job.spec.service;
   n.gang = job.spec.gang;
   // A replica that never ran and has waited for long, as at a cold start.
--- a/src/leader/gang_keeper.cc
+++ b/src/leader/gang_keeper.cc
@@ -41,7 +41,7 @@
   });
   ForEach(j, [&attempt](MachIdx, PlacedAttempt* slot) {
     if (slot->attempt != attempt.number) return;
-    attempt.saving = attempt.saving || slot->state == TaskState::kSaving;
+    attempt.saving = attempt.saving || slot->state == TaskState::kCheckpointing;
     if (slot->running_since < 0) return;
     attempt.running_since = std::max(attempt.running_since, slot->running_since);
   });
@@ -54,10 +54,10 @@
   if (!job.spec.gang || slot.attempt != job.gang_attempt) return;
   switch (slot.why) {
     // Refused before it was there: another machine may take it.
-    case ExitWhy::kNoRoom:
-    case ExitWhy::kInUse:
-    case ExitWhy::kUnknown:
-    case ExitWhy::kDone:
+    case ExitReason::kNoRoom:
+    case ExitReason::kInUse:
+    case ExitReason::kUnknown:
+    case ExitReason::kDone:
       return;
     default:
       job.gang_broken = true;
@@ -99,7 +99,7 @@
   });
   if (attempt.saving) {
     // A stop that an earlier leader did not finish: all tasks must be told soon.
-    Stop(j, job.spec.save_s + kSaveMargin, "others of them save already");
+    Stop(j, job.spec.checkpoint_grace_s + kSaveMargin, "others of them save already");
   } else if (job.gang_broken || (job.gang_started && !job.waiting.empty())) {
     // They would notice it later and end all the same.
     Stop(j, 0, "a task of the gang is gone");
@@ -116,12 +116,13 @@
 }
 
 bool GangKeeper::Saves(const JobSpec& spec) const {
-  return spec.checkpoint_s > 0 && spec.save_s + kSaveMargin <= settings_->gang_peer_s;
+  return spec.checkpoint_interval_s > 0 &&
+         spec.checkpoint_grace_s + kSaveMargin <= settings_->gang_peer_s;
 }
 
 void GangKeeper::StopWhole(JobIdx j, const char* why) {
   const JobSpec& spec = (*book_)[j].spec;
-  Stop(j, Saves(spec) ? spec.save_s + kSaveMargin : 0, why);
+  Stop(j, Saves(spec) ? spec.checkpoint_grace_s + kSaveMargin : 0, why);
 }
 
 void GangKeeper::MachineTaken(MachIdx mi, PlacedAttempt* slot, double seconds_left) {
@@ -136,10 +137,11 @@
   const double sure = seconds_left * kSurePartOfNotice;
   const double ran = attempt.running_since < 0 ? 0 : clock_->Now() - attempt.running_since;
   if (ranking_->TaskSeconds(job) - ran < sure) return;
-  const bool saves = Saves(job.spec) && job.spec.save_s + kSaveMargin < sure;
+  const bool saves = Saves(job.spec) && job.spec.checkpoint_grace_s + kSaveMargin < sure;
   // Without time to save the progress since the last checkpoint is lost either way: the
   // next attempt rather starts now.
-  Stop(j, saves ? job.spec.save_s + kSaveMargin : 0, "the cloud takes one of its machines");
+  Stop(j, saves ? job.spec.checkpoint_grace_s + kSaveMargin : 0,
+       "the cloud takes one of its machines");
 }
 
 }  // namespace deckhall
--- a/src/leader/gang_placer.cc
+++ b/src/leader/gang_placer.cc
@@ -39,7 +39,7 @@
 }
 
 std::vector<std::vector<char>> GangPlacer::ZoneSets(const Job& job) const {
-  if (!job.spec.one_zone) return {std::vector<char>(book_->zones.size(), 1)};
+  if (!job.spec.single_zone) return {std::vector<char>(book_->zones.size(), 1)};
   std::vector<std::vector<char>> sets;
   for (uint32_t zone = 0; zone < book_->zones.size(); ++zone) {
     if (job.zone != kNone && job.zone != zone) continue;
@@ -74,7 +74,7 @@
   free_capacity_->steps += open.size();
   while (plan->nodes.size() < count) {
     // How the zones may be used changes with each task if they must be apart.
-    if (job.spec.apart && !free_capacity_->ZoneRoom(job, plan->nodes, &allowed)) break;
+    if (job.spec.anti_affinity && !free_capacity_->ZoneRoom(job, plan->nodes, &allowed)) break;
     const int at = picker.Next(true);
     if (at < 0) break;
     const auto node = static_cast<uint32_t>(at);
@@ -164,7 +164,7 @@
     on.push_back(node);
     Put(j, node);
     picker.Again(at);
-    if (job.spec.apart && !free_capacity_->ZoneRoom(job, on, &zones)) return;
+    if (job.spec.anti_affinity && !free_capacity_->ZoneRoom(job, on, &zones)) return;
   }
 }
 
--- a/src/leader/leader.cc
+++ b/src/leader/leader.cc
@@ -167,59 +167,60 @@
   return since + GracePeriodSeconds(*settings_);
 }
 
-UserResponse Leader::State(JobIdx j, int status) const {
+JobResponse Leader::State(JobIdx j, int status) const {
   const Job& job = book_[j];
-  UserResponse r;
+  JobResponse r;
   r.status = status;
-  r.done = job.done;
-  r.running = job.running;
+  r.tasks_done = job.done;
+  r.tasks_running = job.running;
   r.state = job.running > 0 ? JobState::kRunning : JobState::kPending;
   if (job.life == JobLife::kLive) return r;
   if (!job.end_acknowledged) return r;  // nobody was told of the end yet
   r.state = job.life == JobLife::kDone ? JobState::kDone : JobState::kCancelled;
-  r.running = 0;
+  r.tasks_running = 0;
   return r;
 }
 
-void Leader::User(const UserRequest& ask, UserDone done) {
+void Leader::User(const JobRequest& ask, UserDone done) {
   if (!loaded_) {
-    done(Unavailable("taking over"));
+    done(UnavailableResponse("taking over"));
     return;
   }
   const bool trusted = ports_.lease->Trusted();
-  const JobIdx j = book_.Find(ask.id);
+  const JobIdx j = book_.Find(ask.job_id);
   // Final states never change: they may be told without the lease.
   if (j != kNone && book_[j].end_acknowledged) {
     done(State(j, 200));
     return;
   }
   if (!trusted) {
-    done(Unavailable("the state service does not answer"));
+    done(UnavailableResponse("the state service does not answer"));
     return;
   }
-  switch (ask.op) {
-    case UserOp::kSubmit:
+  switch (ask.operation) {
+    case JobOperation::kSubmit:
       Submit(ask, std::move(done));
       return;
-    case UserOp::kCancel:
+    case JobOperation::kCancel:
       Cancel(ask, std::move(done));
       return;
-    case UserOp::kGet:
+    case JobOperation::kGet:
       break;
   }
   if (j == kNone) {
     done(Unknown());
   } else if (!book_[j].acknowledged) {
-    done(Unavailable("being accepted"));
+    done(UnavailableResponse("being accepted"));
   } else {
     done(State(j, 200));
   }
 }
 
-UserResponse Leader::Unknown() const {
+JobResponse Leader::Unknown() const {
   // What an unreadable page held may have been accepted: it can't be denied.
-  if (store_.unreadable() > 0) return Unavailable("a page of the state service can't be read");
-  UserResponse r;
+  if (store_.unreadable() > 0)
+    return UnavailableResponse("a page of the state service can't be read");
+  JobResponse r;
   r.status = 404;
   r.error = "no such job";
   return r;
@@ -231,7 +232,7 @@
     if (t.name == spec.team) team = &t;
   }
   if (team == nullptr) return "unknown team";
-  const double n = spec.service || spec.gang ? spec.tasks : 1;
+  const double n = spec.service || spec.gang ? spec.task_count : 1;
   if (team->cores_max > 0 && spec.cores * n > team->cores_max + 1e-6) {
     return "more cores than the team's limit";
   }
@@ -239,8 +240,8 @@
     return "more gpus than the team's limit";
   }
   for (const MachineType& t : rentals_.types()) {
-    if (spec.types &&
-        std::find(spec.types->begin(), spec.types->end(), t.name) == spec.types->end()) {
+    if (spec.allowed_types && std::find(spec.allowed_types->begin(), spec.allowed_types->end(),
+                                        t.name) == spec.allowed_types->end()) {
       continue;
     }
     if (!spec.zone.empty() &&
@@ -259,7 +260,7 @@
   const char* why = nullptr;
   if (book_.live().size() >= MostLiveJobs(*settings_)) {
     why = "as many jobs are unfinished as the memory allows";
-  } else if (book_.live_tasks() + spec.tasks > MostLiveTasks(*settings_)) {
+  } else if (book_.live_tasks() + spec.task_count > MostLiveTasks(*settings_)) {
     why = "as many tasks are unfinished as the memory allows";
   } else if (waiters_.size() >= MostWaiters(*settings_)) {
     why = "as many users wait for an answer as there are connections";
@@ -273,22 +274,22 @@
   return why;
 }
 
-void Leader::Submit(const UserRequest& ask, UserDone done) {
-  JobIdx j = book_.Find(ask.id);
+void Leader::Submit(const JobRequest& ask, UserDone done) {
+  JobIdx j = book_.Find(ask.job_id);
   if (j != kNone && book_[j].acknowledged) {
     done(State(j, 200));
     return;
   }
   if (j == kNone) {
-    UserResponse r;
-    if (!ask.invalid.empty()) {
+    JobResponse r;
+    if (!ask.validation_error.empty()) {
       r.status = 400;
-      r.error = ask.invalid;
+      r.error = ask.validation_error;
       done(r);
       return;
     }
     if (!rentals_.types_known()) {
-      done(Unavailable("machine types are not known yet"));
+      done(UnavailableResponse("machine types are not known yet"));
       return;
     }
     r.error = book_.FitsRow(ask.job) ? NeverRuns(ask.job) : "its description is too large to keep";
@@ -298,7 +299,7 @@
       return;
     }
     if (const char* full = Full(ask.job)) {
-      done(Unavailable(full, kFullRetry));
+      done(UnavailableResponse(full, kFullRetry));
       return;
     }
     j = book_.Create(ask.job, ports_.clock->Wall());
@@ -308,22 +309,22 @@
     if (job.spec.service) free_capacity_.ServiceArrived(job);
     ranking_.JobsChanged();
   }
-  waiters_.push_back({j, UserOp::kSubmit, std::move(done), 201, ports_.clock->Now()});
+  waiters_.push_back({j, JobOperation::kSubmit, std::move(done), 201, ports_.clock->Now()});
   store_.Flush();
 }
 
-void Leader::Cancel(const UserRequest& ask, UserDone done) {
-  const JobIdx j = book_.Find(ask.id);
+void Leader::Cancel(const JobRequest& ask, UserDone done) {
+  const JobIdx j = book_.Find(ask.job_id);
   if (j == kNone) {
     done(Unknown());
     return;
   }
   if (!book_[j].acknowledged) {
-    done(Unavailable("being accepted"));
+    done(UnavailableResponse("being accepted"));
     return;
   }
   if (book_[j].life == JobLife::kLive) {
-    spdlog::info("job {} is cancelled by its user", ask.id);
+    spdlog::info("job {} is cancelled by its user", ask.job_id);
     // Its work is of no use from the moment its user asks.
     book_.End(j, JobLife::kCancelled, ports_.clock->Now());
     fleet_.UnwantJob(j);
@@ -333,7 +334,7 @@
     // It has just ended: its user waits for that to be durable.
     book_.Save(j, WriteUrgency::kNow);
   }
-  waiters_.push_back({j, UserOp::kCancel, std::move(done), 200, ports_.clock->Now()});
+  waiters_.push_back({j, JobOperation::kCancel, std::move(done), 200, ports_.clock->Now()});
   store_.Flush();
 }
 
@@ -344,8 +345,8 @@
       job.acknowledged = true;
       fleet_.changed = true;
       spdlog::info("job {} accepted: {} of {}, {} tasks of {} cores, estimate {} s, deadline {} s",
-                   job.id, job.spec.job_class, job.spec.team, job.spec.tasks, job.spec.cores,
-                   job.spec.estimate_s, job.spec.deadline_s.value_or(0));
+                   job.id, job.spec.job_class, job.spec.team, job.spec.task_count, job.spec.cores,
+                   job.spec.estimated_runtime_s, job.spec.deadline_s.value_or(0));
     }
   }
   for (JobIdx j : book_.ended_jobs()) {
@@ -364,7 +365,7 @@
     Job& job = book_[w.job];
     job.acknowledged = true;
     const bool final = job.life != JobLife::kLive;
-    w.done(trusted || final ? State(w.job, w.status) : Unavailable("the lease ran out"));
+    w.done(trusted || final ? State(w.job, w.status) : UnavailableResponse("the lease ran out"));
   }
 }
 
@@ -395,7 +396,7 @@
   retired_ = true;
   loaded_ = false;
   store_.Stop();
-  for (Waiter& w : std::exchange(waiters_, {})) w.done(Unavailable("another node leads"));
+  for (Waiter& w : std::exchange(waiters_, {})) w.done(UnavailableResponse("another node leads"));
 }
 
 void Leader::Tick() {
@@ -409,7 +410,7 @@
   if (!trusted) {
     // What can't be made durable now is answered now; the user comes again.
     for (Waiter& w : std::exchange(waiters_, {})) {
-      w.done(Unavailable("the state service does not answer"));
+      w.done(UnavailableResponse("the state service does not answer"));
     }
     store_.Flush();
     return;
--- a/src/leader/leader.h
+++ b/src/leader/leader.h
@@ -42,14 +42,14 @@
 
 class Leader {
  public:
-  using UserDone = std::function<void(UserResponse)>;
+  using UserDone = std::function<void(JobResponse)>;
 
   Leader(const LeaderPorts& ports, const Settings* settings, const Tuning* tuning,
          const std::string& leader_key, uint64_t term);
 
   void Begin();
-  void User(const UserRequest& ask, UserDone done);
-  ReportResponse OnReport(const Report& report);
+  void User(const JobRequest& ask, UserDone done);
+  HeartbeatResponse OnReport(const Heartbeat& report);
   void Tick();
   // The term is over: answers what waits and does nothing any more. Kept until
   // the last of its requests is answered.
@@ -77,7 +77,7 @@
  private:
   struct Waiter {
     JobIdx job;
-    UserOp op;
+    JobOperation op;
     UserDone done;
     int status;
     double since;
@@ -85,10 +85,10 @@
 
   void Load();
   void Loaded(const std::vector<std::pair<RowId, std::string>>& rows);
-  void Submit(const UserRequest& ask, UserDone done);
-  void Cancel(const UserRequest& ask, UserDone done);
-  UserResponse State(JobIdx j, int status) const;
-  UserResponse Unknown() const;
+  void Submit(const JobRequest& ask, UserDone done);
+  void Cancel(const JobRequest& ask, UserDone done);
+  JobResponse State(JobIdx j, int status) const;
+  JobResponse Unknown() const;
   std::string NeverRuns(const JobSpec& spec) const;
   // The limit that stands against one more such job; null: none does.
   const char* Full(const JobSpec& spec);
@@ -115,7 +115,7 @@
   void Lost(MachIdx m);
   void Probe(MachIdx m, bool urgent);
   // False when what the machine says can't be: it then changes nothing.
-  bool Plausible(const Report& report);
+  bool Plausible(const Heartbeat& report);
   void RejectReport(const std::string& machine, const char* why);
   void Notice(MachIdx m);
   void SaveProgress();
--- a/src/leader/leader_machines.cc
+++ b/src/leader/leader_machines.cc
@@ -52,8 +52,8 @@
                implausible_reports_);
 }
 
-bool Leader::Plausible(const Report& r) {
-  if (TermOf(r.token) > term_) {
+bool Leader::Plausible(const Heartbeat& r) {
+  if (TermOf(r.fencing_token) > term_) {
     // While our lease is trusted nobody can have begun a later term, so no
     // controller gave that token. Without it, somebody may have.
     if (ports_.lease->Trusted()) {
@@ -74,8 +74,8 @@
   return true;
 }
 
-ReportResponse Leader::OnReport(const Report& r) {
-  ReportResponse reply;
+HeartbeatResponse Leader::OnReport(const Heartbeat& r) {
+  HeartbeatResponse reply;
   const double now = ports_.clock->Now();
   if (!Plausible(r)) {
     reply.status = 421;
@@ -97,7 +97,7 @@
   const bool fresh = fleet_.Process(mi, r);
   Machine& m = fleet_[mi];
   reply.status = 200;
-  reply.token = m.token;
+  reply.fencing_token = m.token;
   if (!fresh) {
     // Overtaken by an answer to a command, or a late copy: it renews nothing here,
     // and gets no commands.
@@ -129,7 +129,7 @@
   } else {
     // Stops and clears need no lease; launches do.
     reply.commands = fleet_.Commands(mi, trusted);
-    reply.token = m.token;
+    reply.fencing_token = m.token;
   }
   m.answered_at = now;
   return reply;
@@ -142,7 +142,7 @@
   Job& job = book_[slot.job];
   gangs_.TaskEnded(slot);
   switch (slot.why) {
-    case ExitWhy::kDone:
+    case ExitReason::kDone:
       m.task_fails = 0;
       m.sick_count = 0;
       job.fail_streak = 0;
@@ -150,24 +150,24 @@
       if (slot.running_since >= 0) ranking_.Observed(job, now - slot.running_since);
       if (job.life != JobLife::kLive) ranking_.JobsChanged();
       break;
-    case ExitWhy::kNoRoom:
+    case ExitReason::kNoRoom:
       m.no_room_until = now + 2;
       spdlog::info("machine {}: no room for {}", m.name, slot.name);
       break;
-    case ExitWhy::kInUse:
-    case ExitWhy::kUnknown:
+    case ExitReason::kInUse:
+    case ExitReason::kUnknown:
       job.backoff_until = std::max(job.backoff_until, now + 1);
       spdlog::info("machine {}: {} refused ({})", m.name, slot.name,
-                   slot.why == ExitWhy::kInUse ? "in use" : "unknown");
+                   slot.why == ExitReason::kInUse ? "in use" : "unknown");
       break;
-    case ExitWhy::kError:
+    case ExitReason::kError:
       TaskFailed(mi, slot);
       break;
-    case ExitWhy::kPeers:
-    case ExitWhy::kIncomplete:
+    case ExitReason::kGangMemberLost:
+    case ExitReason::kGangIncomplete:
       // No fault of this machine, nor of the job: it starts again as a whole.
-    case ExitWhy::kStopped:
-    case ExitWhy::kNone:
+    case ExitReason::kStopped:
+    case ExitReason::kNone:
       break;
   }
 }
@@ -457,9 +457,9 @@
       gangs_.MachineTaken(mi, &s, left);
       continue;
     }
-    if (job.spec.checkpoint_s > 0) {
+    if (job.spec.checkpoint_interval_s > 0) {
       // The notice may be half as long as it says.
-      fleet_.Unwant(mi, &s, job.spec.save_s + 1);
+      fleet_.Unwant(mi, &s, job.spec.checkpoint_grace_s + 1);
       continue;
     }
     const double ran = s.running_since < 0 ? 0 : ports_.clock->Now() - s.running_since;
--- a/src/leader/placer.cc
+++ b/src/leader/placer.cc
@@ -71,7 +71,7 @@
   std::vector<char> zones;
   // Where its tasks are, those on their way out included.
   std::vector<uint32_t> on;
-  if (job.spec.service || job.spec.one_zone || job.spec.apart) on = job.on;
+  if (job.spec.service || job.spec.single_zone || job.spec.anti_affinity) on = job.on;
   if (!free_capacity_->ZoneRoom(job, on, &zones)) return;
   Need need = free_capacity_->NeedOf(job, zones, on);
   need.siblings = &on;
@@ -87,7 +87,8 @@
   auto ordinary = [&] {
     return job.spec.service || free_capacity_->free_ordinary() - reserve + kEps >= job.spec.cores;
   };
-  if (!ordinary() && (!job.spec.spot || free_capacity_->free_spot() + kEps < job.spec.cores))
+  if (!ordinary() &&
+      (!job.spec.spot_tolerant || free_capacity_->free_spot() + kEps < job.spec.cores))
     return;
   Picker picker(&need, &free_capacity_->nodes(), open_);
   free_capacity_->steps += open_.size();
--- a/src/leader/planner.cc
+++ b/src/leader/planner.cc
@@ -186,7 +186,7 @@
     if (!job.spec.gang || !waits(job) || job.waiting.size() < job.tasks.size()) continue;
     const auto n = static_cast<uint32_t>(job.waiting.size());
     if (within_limit(job, n) != n) continue;
-    if (job.spec.one_zone) {
+    if (job.spec.single_zone) {
       // Each such gang may be in another zone, but must be in one.
       wants.push_back({need_of(job), n, true});
     } else {
--- a/src/leader/preemption.cc
+++ b/src/leader/preemption.cc
@@ -68,8 +68,9 @@
     const Job& other = (*book_)[s.job];
     // A fetch given up is lost like a run.
     const double ran = now - (s.running_since < 0 ? s.launched_at : s.running_since);
-    const double lost =
-        other.spec.checkpoint_s > 0 ? std::min(ran, other.spec.checkpoint_s / 2) : ran;
+    const double lost = other.spec.checkpoint_interval_s > 0
+                            ? std::min(ran, other.spec.checkpoint_interval_s / 2)
+                            : ran;
     victims.emplace_back(s.cores * lost, i);
   }
   std::sort(victims.begin(), victims.end());
@@ -133,8 +134,9 @@
     const Job& other = (*book_)[s.job];
     spdlog::info("stopping {} on {} for {} ({})", s.name, machine.name, job.id,
                  job.guaranteed ? "guaranteed" : "higher priority");
-    const bool saves = other.spec.checkpoint_s > 0 && other.spec.save_s <= kShortSave;
-    fleet_->Unwant(choice.machine, &s, saves ? other.spec.save_s + 1 : 0);
+    const bool saves =
+        other.spec.checkpoint_interval_s > 0 && other.spec.checkpoint_grace_s <= kShortSave;
+    fleet_->Unwant(choice.machine, &s, saves ? other.spec.checkpoint_grace_s + 1 : 0);
   }
 }
 
--- a/src/leader/ranking.cc
+++ b/src/leader/ranking.cc
@@ -14,9 +14,9 @@
 
 void Ranking::Observed(const Job& job, double run_s) {
   if (job.job_class >= classes_.size()) classes_.resize(job.job_class + 1);
-  if (job.spec.estimate_s <= 0 || run_s <= 0) return;
+  if (job.spec.estimated_runtime_s <= 0 || run_s <= 0) return;
   ClassStats& c = classes_[job.job_class];
-  const double x = std::log(std::clamp(run_s / job.spec.estimate_s, 0.05, 20.0));
+  const double x = std::log(std::clamp(run_s / job.spec.estimated_runtime_s, 0.05, 20.0));
   c.weight = std::min(c.weight + 1, 200.0);
   c.log_ratio += (x - c.log_ratio) / c.weight;
 }
@@ -28,7 +28,7 @@
     // The owners' word counts like ten finished tasks.
     ratio = std::exp(c.log_ratio * c.weight / (c.weight + 10));
   }
-  return std::max(1.0, job.spec.estimate_s * ratio);
+  return std::max(1.0, job.spec.estimated_runtime_s * ratio);
 }
 
 double Ranking::WorkLeft(const Job& job) const {
@@ -80,7 +80,7 @@
       // Over in the imagined run and not in the real one. Unless it was only
       // kept waiting, its estimate was too low: it is measured anew, or it would
       // hold the first rank for good.
-      const double est = job.spec.estimate_s * job.spec.cores;
+      const double est = job.spec.estimated_runtime_s * job.spec.cores;
       if (TaskSeconds(job) * job.spec.cores > est * 1.2) job.left = WorkLeft(job) * 0.5;
     }
     FspJob f;
--- a/src/mesh/mesh.cc
+++ b/src/mesh/mesh.cc
@@ -30,17 +30,17 @@
   }
 }
 
-MeshPing Mesh::SelfPing() const {
-  MeshPing ping;
+PeerPing Mesh::SelfPing() const {
+  PeerPing ping;
   ping.label = label_;
   ping.instance = instance_;
-  ping.leading = leading_;
-  ping.holding = holding_;
-  ping.informed = informed_;
+  ping.lease_valid = leading_;
+  ping.holds_leader_key = holding_;
+  ping.term_confirmed = informed_;
   ping.term = holding_ ? term_ : highest_term_;
   ping.leader = holding_ ? label_ : FreshLeader();
   for (const Link& link : links_) {
-    if (Hears(link)) ping.reaches.push_back(link.peer.label);
+    if (Hears(link)) ping.reachable_peers.push_back(link.peer.label);
   }
   return ping;
 }
@@ -58,7 +58,7 @@
 std::string Mesh::FreshLeader() const {
   const Link* best = nullptr;
   for (const Link& link : links_) {
-    if (!Hears(link) || (!link.last.leading && !link.last.holding)) continue;
+    if (!Hears(link) || (!link.last.lease_valid && !link.last.holds_leader_key)) continue;
     if (best == nullptr || link.last.term > best->last.term) best = &link;
   }
   return best == nullptr ? std::string() : best->peer.label;
@@ -70,7 +70,7 @@
   if (!direct.empty()) return direct;
   const Link* best = nullptr;
   for (const Link& link : links_) {
-    const MeshPing& p = link.last;
+    const PeerPing& p = link.last;
     if (!Hears(link) || p.leader.empty() || p.leader == label_) continue;
     if (best == nullptr || p.term > best->last.term) best = &link;
   }
@@ -123,7 +123,7 @@
     return straight;
   }
   for (size_t i = 0; i < links_.size(); ++i) {
-    const auto& reaches = links_[i].last.reaches;
+    const auto& reaches = links_[i].last.reachable_peers;
     if (i != straight && Hears(links_[i]) && transport_->Connected(i) &&
         std::find(reaches.begin(), reaches.end(), label) != reaches.end()) {
       return i;
@@ -150,7 +150,7 @@
   for (size_t i = 0; i < links_.size(); ++i) {
     if (!Hears(links_[i])) links_[i].missed = now;
     if (!transport_->Connected(i)) continue;
-    MeshFrame frame;
+    PeerFrame frame;
     frame.target = links_[i].peer.label;
     frame.id = static_cast<uint64_t>(now * 1000);  // comes back with the answer
     frame.body = SelfPing();
@@ -158,32 +158,32 @@
   }
 }
 
-void Mesh::OnAnswer(size_t peer, MeshFrame frame) {
+void Mesh::OnAnswer(size_t peer, PeerFrame frame) {
   Link& link = links_[peer];
-  if (auto* ping = std::get_if<MeshPing>(&frame.body)) {
+  if (auto* ping = std::get_if<PeerPing>(&frame.body)) {
     link.heard = clock_->Now();
     link.last = *ping;
-    term_freshness_.Heard(peer, static_cast<double>(frame.id) / 1000, ping->informed);
+    term_freshness_.Heard(peer, static_cast<double>(frame.id) / 1000, ping->term_confirmed);
     OnPing(*ping);
   } else if (frame.id != 0) {
     Settle(frame.id, std::move(frame.body));
   }
 }
 
-void Mesh::OnPing(const MeshPing& ping) {
+void Mesh::OnPing(const PeerPing& ping) {
   if (ping.term <= highest_term_) return;
   highest_term_ = ping.term;
   if (on_higher_term) on_higher_term(ping.term);
 }
 
-void Mesh::OnRequest(MeshFrame frame, const std::function<void(const MeshFrame&)>& send) {
+void Mesh::OnRequest(PeerFrame frame, const std::function<void(const PeerFrame&)>& send) {
   auto answer = [send, id = frame.id](Body body) {
-    MeshFrame reply;
+    PeerFrame reply;
     reply.id = id;
     reply.body = std::move(body);
     send(reply);
   };
-  if (auto* ping = std::get_if<MeshPing>(&frame.body)) {
+  if (auto* ping = std::get_if<PeerPing>(&frame.body)) {
     OnPing(*ping);
     answer(SelfPing());
     return;
@@ -211,7 +211,7 @@
   const size_t at = pending_.size() < max_pending_ ? Route(label) : kNoLink;
   pending_[id] = {std::move(done), clock_->Now() + (at == kNoLink ? 0 : timeout_s)};
   if (at == kNoLink) return;
-  MeshFrame frame;
+  PeerFrame frame;
   frame.id = id;
   frame.target = label;
   frame.body = std::move(body);
--- a/src/mesh/mesh.h
+++ b/src/mesh/mesh.h
@@ -27,12 +27,12 @@
  public:
   virtual ~MeshTransport() = default;
   virtual bool Connected(size_t peer) const = 0;
-  virtual void Send(size_t peer, const MeshFrame& frame) = 0;
+  virtual void Send(size_t peer, const PeerFrame& frame) = 0;
 };
 
 class Mesh {
  public:
-  using Body = decltype(MeshFrame::body);
+  using Body = decltype(PeerFrame::body);
   using Reply = std::function<void(Body)>;  // monostate: no answer
   // Answers what another node passed to this one.
   using Server = std::function<void(Body, Reply)>;
@@ -42,9 +42,9 @@
 
   void Tick();
   // A frame came over the link to the peer, in answer to one of ours.
-  void OnAnswer(size_t peer, MeshFrame frame);
+  void OnAnswer(size_t peer, PeerFrame frame);
   // A frame came over a link that a peer dialled.
-  void OnRequest(MeshFrame frame, const std::function<void(const MeshFrame&)>& answer);
+  void OnRequest(PeerFrame frame, const std::function<void(const PeerFrame&)>& answer);
   // An attempt to connect to the peer failed at once.
   void OnRefused(size_t peer) { links_[peer].refused = clock_->Now(); }
 
@@ -81,7 +81,7 @@
     double heard = -1e9;
     double missed = -1e9;   // last time it was not heard
     double refused = -1e9;  // an attempt to connect failed at once
-    MeshPing last;
+    PeerPing last;
   };
   struct Pending {
     Reply done;
@@ -89,14 +89,14 @@
   };
 
   void SendPings();
-  void OnPing(const MeshPing& ping);
+  void OnPing(const PeerPing& ping);
   void Settle(uint64_t id, Body body);
   // The index of the peer, or of none.
   size_t Find(const std::string& label) const;
   bool Hears(const Link& link) const;
   // The link over which frames for the label go now.
   size_t Route(const std::string& label) const;
-  MeshPing SelfPing() const;
+  PeerPing SelfPing() const;
   std::string FreshLeader() const;
 
   MeshTransport* transport_;
--- a/src/mesh/mesh_links.cc
+++ b/src/mesh/mesh_links.cc
@@ -42,7 +42,7 @@
   return tcp && tcp->connected();
 }
 
-void MeshLinks::Send(size_t peer, const MeshFrame& frame) {
+void MeshLinks::Send(size_t peer, const PeerFrame& frame) {
   Link& link = *links_[peer];
   if (!link.tcp || link.tcp->unsent() + link.out.size() > kMaxUnsent) return;
   EncodeFrame(frame, &link.out);
@@ -77,7 +77,7 @@
   if (!link->tcp) return;
   link->tcp->SetCallbacks(
       [this, link](std::string_view bytes) {
-        const bool ok = Split(&link->in, bytes, [this, link](MeshFrame f) {
+        const bool ok = Split(&link->in, bytes, [this, link](PeerFrame f) {
           link->heard = clock_->Now();
           mesh_->OnAnswer(link->index, std::move(f));
         });
@@ -109,8 +109,8 @@
         auto it = inbound_.find(id);
         if (it == inbound_.end()) return;
         std::string in = std::move(it->second.in);
-        const bool ok = Split(&in, bytes, [this, id](MeshFrame f) {
-          mesh_->OnRequest(std::move(f), [this, id](const MeshFrame& a) { Answer(id, a); });
+        const bool ok = Split(&in, bytes, [this, id](PeerFrame f) {
+          mesh_->OnRequest(std::move(f), [this, id](const PeerFrame& a) { Answer(id, a); });
         });
         it = inbound_.find(id);
         if (it == inbound_.end()) return;
@@ -129,7 +129,7 @@
   reaper_.Start(0);
 }
 
-void MeshLinks::Answer(uint64_t id, const MeshFrame& frame) {
+void MeshLinks::Answer(uint64_t id, const PeerFrame& frame) {
   auto it = inbound_.find(id);
   if (it == inbound_.end()) return;
   Inbound& inbound = it->second;
@@ -138,7 +138,7 @@
 }
 
 bool MeshLinks::Split(std::string* in, std::string_view bytes,
-                      const std::function<void(MeshFrame)>& each) {
+                      const std::function<void(PeerFrame)>& each) {
   in->append(bytes);
   size_t at = 0;
   while (in->size() - at >= 4) {
@@ -149,7 +149,7 @@
     }
     if (n > kMaxFrame) return false;
     if (in->size() - at - 4 < n) break;
-    MeshFrame frame;
+    PeerFrame frame;
     if (!DecodeFrame(std::string_view(*in).substr(at + 4, n), &frame)) {
       spdlog::warn("mesh: unreadable frame dropped with its connection");
       return false;
--- a/src/mesh/mesh_links.h
+++ b/src/mesh/mesh_links.h
@@ -19,7 +19,7 @@
   void Start(Mesh* mesh);
 
   bool Connected(size_t peer) const override;
-  void Send(size_t peer, const MeshFrame& frame) override;
+  void Send(size_t peer, const PeerFrame& frame) override;
 
  private:
   struct Link {
@@ -45,10 +45,10 @@
   void Hangup(Link* link);
   void Accept(std::unique_ptr<TcpConn> tcp);
   void Drop(uint64_t inbound);
-  void Answer(uint64_t id, const MeshFrame& frame);
+  void Answer(uint64_t id, const PeerFrame& frame);
   // False when the stream is broken.
   static bool Split(std::string* in, std::string_view bytes,
-                    const std::function<void(MeshFrame)>& each);
+                    const std::function<void(PeerFrame)>& each);
 
   Loop* loop_;
   const Clock* clock_;
--- a/src/state/job_book.cc
+++ b/src/state/job_book.cc
@@ -44,15 +44,15 @@
   job.image = images.Add(job.spec.image);
   job.job_class = classes.Add(job.spec.job_class);
   job.zone = job.spec.zone.empty() ? kNone : zones.Add(job.spec.zone);
-  if (job.spec.types) {
+  if (job.spec.allowed_types) {
     job.types.assign(1, 0);
-    for (const std::string& name : *job.spec.types) {
+    for (const std::string& name : *job.spec.allowed_types) {
       const uint32_t t = types.Add(name);
       if (t >= job.types.size()) job.types.resize(t + 1, 0);
       job.types[t] = 1;
     }
   }
-  job.tasks.resize(job.spec.tasks);
+  job.tasks.resize(job.spec.task_count);
 }
 
 bool JobBook::LoadRow(RowId row, const std::string& text) {
@@ -103,7 +103,8 @@
     }
     Job& job = jobs_[j];
     if (bits.part > 0) {
-      job.chunks.resize(std::max<size_t>(job.chunks.size(), Parts(job.spec.tasks) - 1), kNoRow);
+      job.chunks.resize(std::max<size_t>(job.chunks.size(), Parts(job.spec.task_count) - 1),
+                        kNoRow);
       if (bits.part <= job.chunks.size()) {
         job.chunks[bits.part - 1] = bits.row;
         store_->Reserve(bits.row, kChunkReserve);
@@ -164,10 +165,10 @@
   job.spec = spec;
   job.submitted_wall = wall;
   Attach(job);
-  for (uint32_t i = spec.tasks; i-- > 0;) job.waiting.push_back(i);
+  for (uint32_t i = spec.task_count; i-- > 0;) job.waiting.push_back(i);
   index_[spec.id] = j;
   live_.push_back(j);
-  live_tasks_ += spec.tasks;
+  live_tasks_ += spec.task_count;
   Save(j, WriteUrgency::kNow);
   on_life(j);
   return j;
@@ -232,7 +233,7 @@
   job.id = spec.id;
   job.spec = spec;
   job.full = true;
-  job.tasks.resize(std::min(spec.tasks, kChunk));
+  job.tasks.resize(std::min(spec.task_count, kChunk));
   return ReserveOf(job, MainText(job)) <= store_->most_bytes();
 }
 
@@ -312,7 +313,7 @@
 
 void JobBook::SaveChunk(Job* job, uint32_t part) {
   if (part == 0) return;  // in the job's own row
-  job->chunks.resize(std::max<size_t>(job->chunks.size(), Parts(job->spec.tasks) - 1), kNoRow);
+  job->chunks.resize(std::max<size_t>(job->chunks.size(), Parts(job->spec.task_count) - 1), kNoRow);
   RowId& row = job->chunks[part - 1];
   std::string text = ChunkText(*job, part);
   if (row == kNoRow) {
@@ -334,7 +335,7 @@
   if (job.done == job.tasks.size()) return;
   job.waiting.clear();
   for (uint32_t task = 0; task < job.tasks.size(); ++task) MarkDone(&job, task);
-  for (uint32_t part = 1; part < Parts(job.spec.tasks); ++part) SaveChunk(&job, part);
+  for (uint32_t part = 1; part < Parts(job.spec.task_count); ++part) SaveChunk(&job, part);
 }
 
 void JobBook::RemoveFrom(std::vector<JobIdx>* list, JobIdx j) {
--- a/src/state/row_store.cc
+++ b/src/state/row_store.cc
@@ -52,7 +52,7 @@
                    done(false, {});
                    return;
                  }
-                 for (const KvRow& kv : answer.rows) {
+                 for (const KeyValue& kv : answer.rows) {
                    rapidjson::Document doc;
                    Page page;
                    page.key = kv.key;
@@ -265,7 +265,7 @@
   if (due.empty()) return false;
   double room = state_->WriteRoom();
   Outgoing out;
-  out.txn.conditions.push_back({leader_key_, term_});
+  out.txn.preconditions.push_back({leader_key_, term_});
   out.bytes = kTxnRest;
   for (const DuePage& page : due) {
     if (TooLarge(pages_[page.index])) Split(page.index);
@@ -315,8 +315,8 @@
   out->largest = largest;
   for (size_t k = 0; k < unit.size(); ++k) {
     Page& p = pages_[unit[k]];
-    out->txn.conditions.push_back({p.key, p.version});
-    out->txn.writes.push_back({p.key, std::move(values[k]), 0});
+    out->txn.preconditions.push_back({p.key, p.version});
+    out->txn.mutations.push_back({p.key, std::move(values[k]), 0});
     out->pages.push_back(unit[k]);
     p.dirty = false;
     p.urgency = WriteUrgency::kLazy;
@@ -396,7 +396,7 @@
 void RowStore::ResolvePages(const std::string& after) {
   state_->List(std::string(kPrefix), after, [this](const StateAnswer& answer) {
     if (answer.outcome == StateOutcome::kOk) {
-      for (const KvRow& kv : answer.rows) {
+      for (const KeyValue& kv : answer.rows) {
         for (Page& p : pages_) {
           if (p.key == kv.key) p.version = kv.version;
         }
--- a/src/state/row_store.h
+++ b/src/state/row_store.h
@@ -134,7 +134,7 @@
   };
   // A transaction that is being put together.
   struct Outgoing {
-    Txn txn;
+    Transaction txn;
     std::vector<uint32_t> pages;
     size_t bytes = 0;
     size_t largest = 0;  // of its values, in bytes
--- a/src/state/state_client.cc
+++ b/src/state/state_client.cc
@@ -56,8 +56,8 @@
              });
 }
 
-void StateClient::Commit(const Txn& txn, Done done) {
-  const double puts = static_cast<double>(txn.writes.size());
+void StateClient::Commit(const Transaction& txn, Done done) {
+  const double puts = static_cast<double>(txn.mutations.size());
   // Bigger than the burst: waits until the bucket is full, then goes in debt.
   if (!writes_.Take(clock_->Now(), puts, -puts)) {
     refused_.push_back(std::move(done));
@@ -69,7 +69,7 @@
   const double timeout = std::clamp(kSlow * commit_s_, kLeastTimeout, kTimeout);
   const double sent = clock_->Now();
   Ask(
-      {"POST", "/txn", EncodeTxn(txn), timeout}, 2,
+      {"POST", "/txn", EncodeTransaction(txn), timeout}, 2,
       [](const HttpResult& r, StateAnswer* a) {
         if (r.status == 200 && DecodeRevision(r.body, &a->number)) a->outcome = StateOutcome::kOk;
         if (r.status == 409) a->outcome = StateOutcome::kConflict;
@@ -88,8 +88,8 @@
   Ask(
       {"GET", "/kv/" + key, "", kTimeout}, 2,
       [](const HttpResult& r, StateAnswer* a) {
-        KvRow row;
-        if (r.status == 200 && DecodeRow(r.body, &row)) {
+        KeyValue row;
+        if (r.status == 200 && DecodeKeyValue(r.body, &row)) {
           a->outcome = StateOutcome::kOk;
           a->found = true;
           a->rows.push_back(std::move(row));
@@ -106,7 +106,7 @@
   Ask(
       {"GET", path, "", kTimeout}, 2,
       [](const HttpResult& r, StateAnswer* a) {
-        if (r.status == 200 && DecodeRows(r.body, &a->rows, &a->truncated, &a->number)) {
+        if (r.status == 200 && DecodeKeyValues(r.body, &a->rows, &a->truncated, &a->number)) {
           a->outcome = StateOutcome::kOk;
         }
       },
@@ -115,9 +115,9 @@
 
 void StateClient::Grant(int ttl_ms, Done done) {
   Ask(
-      {"POST", "/grants", EncodeGrant(ttl_ms), kTimeout}, 1,
+      {"POST", "/grants", EncodeLeaseGrant(ttl_ms), kTimeout}, 1,
       [](const HttpResult& r, StateAnswer* a) {
-        if (r.status == 200 && DecodeGrant(r.body, &a->number)) a->outcome = StateOutcome::kOk;
+        if (r.status == 200 && DecodeLeaseGrant(r.body, &a->number)) a->outcome = StateOutcome::kOk;
       },
       std::move(done));
 }
--- a/src/state/state_port.h
+++ b/src/state/state_port.h
@@ -22,7 +22,7 @@
   uint64_t number = 0;  // revision, or the lease granted
   bool found = false;   // Get
   bool truncated = false;
-  std::vector<KvRow> rows;
+  std::vector<KeyValue> rows;
 };
 
 class StatePort {
@@ -30,7 +30,7 @@
   using Done = std::function<void(StateAnswer)>;
   virtual ~StatePort() = default;
 
-  virtual void Commit(const Txn& txn, Done done) = 0;
+  virtual void Commit(const Transaction& txn, Done done) = 0;
   virtual void Get(const std::string& key, Done done) = 0;
   virtual void List(const std::string& prefix, const std::string& after, Done done) = 0;
   virtual void Grant(int ttl_ms, Done done) = 0;
--- a/src/wire/cloud_codec.cc
+++ b/src/wire/cloud_codec.cc
@@ -31,7 +31,7 @@
   return !out->empty();
 }
 
-bool DecodeMachineList(std::string_view body, std::vector<ListedMachine>* out, bool* truncated) {
+bool DecodeInstanceList(std::string_view body, std::vector<CloudInstance>* out, bool* truncated) {
   rapidjson::Document doc;
   if (!ParseJson(body, &doc)) return false;
   const JsonValue* rows = JsonMember(doc, "cubiertas");
@@ -39,7 +39,7 @@
   *truncated = false;
   JsonBool(doc, "truncated", truncated);
   for (const auto& row : rows->GetArray()) {
-    ListedMachine m;
+    CloudInstance m;
     if (!JsonString(row, "name_id", &m.name) || m.name.empty()) return false;
     JsonString(row, "endpoint", &m.endpoint);
     JsonString(row, "casco", &m.type);
@@ -47,16 +47,16 @@
     JsonBool(row, "prestados", &m.spot);
     std::string state;
     JsonString(row, "estado", &state);
-    m.state = state == "running"  ? ListedState::kRunning
-              : state == "failed" ? ListedState::kFailed
-                                  : ListedState::kStarting;
+    m.state = state == "running"  ? InstanceState::kRunning
+              : state == "failed" ? InstanceState::kFailed
+                                  : InstanceState::kStarting;
     JsonNumber(row, "age_s", &m.age_s);
     out->push_back(std::move(m));
   }
   return true;
 }
 
-bool DecodeRented(std::string_view body, std::vector<std::string>* out) {
+bool DecodeScaleOutResponse(std::string_view body, std::vector<std::string>* out) {
   rapidjson::Document doc;
   if (!ParseJson(body, &doc)) return false;
   const JsonValue* rows = JsonMember(doc, "cubiertas");
@@ -68,8 +68,8 @@
   return true;
 }
 
-std::string EncodeRental(const std::string& request, const std::string& type,
-                         const std::string& zone, bool spot, int count) {
+std::string EncodeScaleOut(const std::string& request, const std::string& type,
+                           const std::string& zone, bool spot, int count) {
   rapidjson::StringBuffer buffer;
   JsonWriter w(buffer);
   w.StartObject();
@@ -84,7 +84,7 @@
   return buffer.GetString();
 }
 
-std::string EncodeReturn(const std::vector<std::string>& machines) {
+std::string EncodeScaleIn(const std::vector<std::string>& machines) {
   rapidjson::StringBuffer buffer;
   JsonWriter w(buffer);
   w.StartObject();
@@ -96,7 +96,7 @@
   return buffer.GetString();
 }
 
-std::string ListPath(const std::string& after, int limit) {
+std::string InstanceListPath(const std::string& after, int limit) {
   return "/machines?from=" + after + "&page=" + std::to_string(limit);
 }
 
--- a/src/wire/job_codec.cc
+++ b/src/wire/job_codec.cc
@@ -18,11 +18,11 @@
   });
 }
 
-bool ReadAmount(const JsonValue& o, const char* field, double* out) {
+bool ReadQuantity(const JsonValue& o, const char* field, double* out) {
   return JsonNumber(o, field, out) && *out >= 0 && *out <= kMostAmount;
 }
 
-std::string Bad(const char* field) { return std::string("missing or invalid: ") + field; }
+std::string InvalidField(const char* field) { return std::string("missing or invalid: ") + field; }
 
 // Absent or null keeps the default; anything but a boolean is an error.
 bool ReadFlag(const JsonValue& o, const char* field, bool* out) {
@@ -47,53 +47,57 @@
 }
 
 std::string ReadJob(const JsonValue& o, JobSpec* job) {
-  if (!JsonString(o, "name_id", &job->id) || !ValidJobId(job->id)) return Bad("name_id");
-  if (!ReadName(o, "clase", &job->job_class)) return Bad("clase");
-  if (!ReadName(o, "cuadrilla", &job->team)) return Bad("cuadrilla");
+  if (!JsonString(o, "name_id", &job->id) || !ValidJobId(job->id)) return InvalidField("name_id");
+  if (!ReadName(o, "clase", &job->job_class)) return InvalidField("clase");
+  if (!ReadName(o, "cuadrilla", &job->team)) return InvalidField("cuadrilla");
   std::string word;
-  if (!JsonString(o, "forma", &word)) return Bad("forma");
-  if (word != "sweep" && word != "daemon" && word != "ensemble") return Bad("forma");
+  if (!JsonString(o, "forma", &word)) return InvalidField("forma");
+  if (word != "sweep" && word != "daemon" && word != "ensemble") return InvalidField("forma");
   job->service = word == "daemon";
   job->gang = word == "ensemble";
-  if (!JsonString(o, "rango", &word)) return Bad("rango");
+  if (!JsonString(o, "rango", &word)) return InvalidField("rango");
   auto* const end = std::end(kPriorityWords);
   auto* const at = std::find(std::begin(kPriorityWords), end, word);
-  if (at == end) return Bad("rango");
+  if (at == end) return InvalidField("rango");
   job->priority = static_cast<Priority>(at - std::begin(kPriorityWords));
   uint64_t tasks = 0;
-  if (!JsonU64(o, "faenas", &tasks) || tasks == 0 || tasks > kMostTasks) return Bad("faenas");
-  job->tasks = static_cast<uint32_t>(tasks);
-  if (!ReadAmount(o, "cores", &job->cores)) return Bad("cores");
-  if (JsonMember(o, "gpus") != nullptr && !ReadAmount(o, "gpus", &job->gpus)) return Bad("gpus");
-  if (!ReadAmount(o, "memory_gb", &job->memory_gb)) return Bad("memory_gb");
-  if (!ReadName(o, "carga", &job->image)) return Bad("carga");
-  if (!ReadAmount(o, "image_gb", &job->image_gb)) return Bad("image_gb");
+  if (!JsonU64(o, "faenas", &tasks) || tasks == 0 || tasks > kMostTasks)
+    return InvalidField("faenas");
+  job->task_count = static_cast<uint32_t>(tasks);
+  if (!ReadQuantity(o, "cores", &job->cores)) return InvalidField("cores");
+  if (JsonMember(o, "gpus") != nullptr && !ReadQuantity(o, "gpus", &job->gpus))
+    return InvalidField("gpus");
+  if (!ReadQuantity(o, "memory_gb", &job->memory_gb)) return InvalidField("memory_gb");
+  if (!ReadName(o, "carga", &job->image)) return InvalidField("carga");
+  if (!ReadQuantity(o, "image_gb", &job->image_gb)) return InvalidField("image_gb");
   if (const JsonValue* types = JsonMember(o, "cascos")) {
-    if (!types->IsArray() || types->Size() > 1000) return Bad("cascos");
-    job->types.emplace();
+    if (!types->IsArray() || types->Size() > 1000) return InvalidField("cascos");
+    job->allowed_types.emplace();
     for (const auto& t : types->GetArray()) {
       if (!t.IsString() || t.GetStringLength() == 0 || t.GetStringLength() > kMostName) {
-        return Bad("cascos");
+        return InvalidField("cascos");
       }
-      job->types->emplace_back(t.GetString(), t.GetStringLength());
+      job->allowed_types->emplace_back(t.GetString(), t.GetStringLength());
     }
   }
   if (JsonMember(o, "muelle") != nullptr && !ReadName(o, "muelle", &job->zone)) {
-    return Bad("muelle");
+    return InvalidField("muelle");
   }
-  if (!ReadFlag(o, "one_zone", &job->one_zone)) return Bad("one_zone");
-  if (!ReadFlag(o, "apart", &job->apart)) return Bad("apart");
-  if (!ReadFlag(o, "prestados", &job->spot)) return Bad("prestados");
-  if (!ReadAmount(o, "rumbo_s", &job->estimate_s)) return Bad("rumbo_s");
-  if (JsonMember(o, "bitacora_s") != nullptr && !ReadAmount(o, "bitacora_s", &job->checkpoint_s)) {
-    return Bad("bitacora_s");
+  if (!ReadFlag(o, "one_zone", &job->single_zone)) return InvalidField("one_zone");
+  if (!ReadFlag(o, "apart", &job->anti_affinity)) return InvalidField("apart");
+  if (!ReadFlag(o, "prestados", &job->spot_tolerant)) return InvalidField("prestados");
+  if (!ReadQuantity(o, "rumbo_s", &job->estimated_runtime_s)) return InvalidField("rumbo_s");
+  if (JsonMember(o, "bitacora_s") != nullptr &&
+      !ReadQuantity(o, "bitacora_s", &job->checkpoint_interval_s)) {
+    return InvalidField("bitacora_s");
   }
-  if (JsonMember(o, "estiba_s") != nullptr && !ReadAmount(o, "estiba_s", &job->save_s)) {
-    return Bad("estiba_s");
+  if (JsonMember(o, "estiba_s") != nullptr &&
+      !ReadQuantity(o, "estiba_s", &job->checkpoint_grace_s)) {
+    return InvalidField("estiba_s");
   }
   if (JsonMember(o, "arribo_s") != nullptr) {
     double deadline = 0;
-    if (!ReadAmount(o, "arribo_s", &deadline)) return Bad("arribo_s");
+    if (!ReadQuantity(o, "arribo_s", &deadline)) return InvalidField("arribo_s");
     job->deadline_s = deadline;
   }
   return "";
@@ -107,7 +111,7 @@
   PutString(w, "forma", job.service ? "daemon" : job.gang ? "ensemble" : "sweep");
   PutString(w, "rango", kPriorityWords[static_cast<int>(job.priority)]);
   w.Key("faenas");
-  w.Uint(job.tasks);
+  w.Uint(job.task_count);
   auto number = [&w](const char* name, double v) {
     w.Key(name);
     w.Double(v);
@@ -117,10 +121,10 @@
   number("memory_gb", job.memory_gb);
   PutString(w, "carga", job.image);
   number("image_gb", job.image_gb);
-  if (job.types) {
+  if (job.allowed_types) {
     w.Key("cascos");
     w.StartArray();
-    for (const auto& t : *job.types) w.String(t);
+    for (const auto& t : *job.allowed_types) w.String(t);
     w.EndArray();
   }
   if (!job.zone.empty()) PutString(w, "muelle", job.zone);
@@ -129,12 +133,12 @@
     w.Key(name);
     w.Bool(v);
   };
-  flag("one_zone", job.one_zone);
-  flag("apart", job.apart);
-  flag("prestados", job.spot);
-  number("rumbo_s", job.estimate_s);
-  if (job.checkpoint_s > 0) number("bitacora_s", job.checkpoint_s);
-  if (job.save_s > 0) number("estiba_s", job.save_s);
+  flag("one_zone", job.single_zone);
+  flag("apart", job.anti_affinity);
+  flag("prestados", job.spot_tolerant);
+  number("rumbo_s", job.estimated_runtime_s);
+  if (job.checkpoint_interval_s > 0) number("bitacora_s", job.checkpoint_interval_s);
+  if (job.checkpoint_grace_s > 0) number("estiba_s", job.checkpoint_grace_s);
   if (job.deadline_s) number("arribo_s", *job.deadline_s);
   w.EndObject();
 }
@@ -153,18 +157,18 @@
   return "pending";
 }
 
-std::string EncodeUserResponse(const UserRequest& ask, const UserResponse& reply) {
+std::string EncodeJobResponse(const JobRequest& ask, const JobResponse& reply) {
   if (reply.status != 200 && reply.status != 201) return EncodeError(reply.error);
   rapidjson::StringBuffer buffer;
   JsonWriter w(buffer);
   w.StartObject();
-  PutString(w, "name_id", ask.id);
+  PutString(w, "name_id", ask.job_id);
   PutString(w, "estado", JobStateWord(reply.state));
-  if (ask.op == UserOp::kGet) {
+  if (ask.operation == JobOperation::kGet) {
     w.Key("done");
-    w.Uint(reply.done);
+    w.Uint(reply.tasks_done);
     w.Key("running");
-    w.Uint(reply.running);
+    w.Uint(reply.tasks_running);
   }
   w.EndObject();
   return buffer.GetString();
--- a/src/wire/job_codec.h
+++ b/src/wire/job_codec.h
@@ -21,7 +21,7 @@
 void WriteJob(JsonWriter& w, const JobSpec& job);
 
 const char* JobStateWord(JobState state);
-std::string EncodeUserResponse(const UserRequest& ask, const UserResponse& reply);
+std::string EncodeJobResponse(const JobRequest& ask, const JobResponse& reply);
 std::string EncodeError(std::string_view error);
 
 }  // namespace deckhall
--- a/src/wire/mesh_codec.cc
+++ b/src/wire/mesh_codec.cc
@@ -21,24 +21,24 @@
   b.setService(j.service);
   b.setGang(j.gang);
   b.setPriority(static_cast<uint8_t>(j.priority));
-  b.setTasks(j.tasks);
+  b.setTasks(j.task_count);
   b.setCores(j.cores);
   b.setGpus(j.gpus);
   b.setMemoryGb(j.memory_gb);
   b.setImage(Txt(j.image));
   b.setImageGb(j.image_gb);
-  b.setAnyType(!j.types.has_value());
-  if (j.types) {
-    auto list = b.initTypes(static_cast<unsigned>(j.types->size()));
-    for (unsigned i = 0; i < list.size(); ++i) list.set(i, Txt((*j.types)[i]));
+  b.setAnyType(!j.allowed_types.has_value());
+  if (j.allowed_types) {
+    auto list = b.initTypes(static_cast<unsigned>(j.allowed_types->size()));
+    for (unsigned i = 0; i < list.size(); ++i) list.set(i, Txt((*j.allowed_types)[i]));
   }
   b.setZone(Txt(j.zone));
-  b.setOneZone(j.one_zone);
-  b.setApart(j.apart);
-  b.setSpot(j.spot);
-  b.setEstimateS(j.estimate_s);
-  b.setCheckpointS(j.checkpoint_s);
-  b.setSaveS(j.save_s);
+  b.setOneZone(j.single_zone);
+  b.setApart(j.anti_affinity);
+  b.setSpot(j.spot_tolerant);
+  b.setEstimateS(j.estimated_runtime_s);
+  b.setCheckpointS(j.checkpoint_interval_s);
+  b.setSaveS(j.checkpoint_grace_s);
   b.setDeadlineS(j.deadline_s.value_or(-1));
 }
 
@@ -49,23 +49,23 @@
   j->service = r.getService();
   j->gang = r.getGang();
   j->priority = static_cast<Priority>(r.getPriority() & 3);
-  j->tasks = r.getTasks();
+  j->task_count = r.getTasks();
   j->cores = r.getCores();
   j->gpus = r.getGpus();
   j->memory_gb = r.getMemoryGb();
   j->image = Str(r.getImage());
   j->image_gb = r.getImageGb();
   if (!r.getAnyType()) {
-    j->types.emplace();
-    for (auto t : r.getTypes()) j->types->push_back(Str(t));
+    j->allowed_types.emplace();
+    for (auto t : r.getTypes()) j->allowed_types->push_back(Str(t));
   }
   j->zone = Str(r.getZone());
-  j->one_zone = r.getOneZone();
-  j->apart = r.getApart();
-  j->spot = r.getSpot();
-  j->estimate_s = r.getEstimateS();
-  j->checkpoint_s = r.getCheckpointS();
-  j->save_s = r.getSaveS();
+  j->single_zone = r.getOneZone();
+  j->anti_affinity = r.getApart();
+  j->spot_tolerant = r.getSpot();
+  j->estimated_runtime_s = r.getEstimateS();
+  j->checkpoint_interval_s = r.getCheckpointS();
+  j->checkpoint_grace_s = r.getSaveS();
   if (r.getDeadlineS() >= 0) j->deadline_s = r.getDeadlineS();
 }
 
@@ -73,72 +73,72 @@
   mesh::Frame::Builder f;
 
   void operator()(std::monostate) { f.setNone(); }
-  void operator()(const MeshPing& p) {
+  void operator()(const PeerPing& p) {
     auto b = f.initPing();
     b.setLabel(Txt(p.label));
     b.setInstance(p.instance);
-    b.setLeading(p.leading);
-    b.setHolding(p.holding);
-    b.setInformed(p.informed);
+    b.setLeading(p.lease_valid);
+    b.setHolding(p.holds_leader_key);
+    b.setInformed(p.term_confirmed);
     b.setTerm(p.term);
     b.setLeader(Txt(p.leader));
-    auto list = b.initReaches(static_cast<unsigned>(p.reaches.size()));
-    for (unsigned i = 0; i < list.size(); ++i) list.set(i, Txt(p.reaches[i]));
+    auto list = b.initReaches(static_cast<unsigned>(p.reachable_peers.size()));
+    for (unsigned i = 0; i < list.size(); ++i) list.set(i, Txt(p.reachable_peers[i]));
   }
-  void operator()(const UserRequest& a) {
+  void operator()(const JobRequest& a) {
     auto b = f.initUserRequest();
-    b.setOp(static_cast<uint8_t>(a.op));
-    b.setId(Txt(a.id));
-    b.setInvalid(Txt(a.invalid));
-    if (a.op == UserOp::kSubmit && a.invalid.empty()) Put(a.job, b.initJob());
+    b.setOp(static_cast<uint8_t>(a.operation));
+    b.setId(Txt(a.job_id));
+    b.setInvalid(Txt(a.validation_error));
+    if (a.operation == JobOperation::kSubmit && a.validation_error.empty()) Put(a.job, b.initJob());
   }
-  void operator()(const UserResponse& r) {
+  void operator()(const JobResponse& r) {
     auto b = f.initUserResponse();
     b.setStatus(static_cast<uint16_t>(r.status));
     b.setState(static_cast<uint8_t>(r.state));
-    b.setDone(r.done);
-    b.setRunning(r.running);
+    b.setDone(r.tasks_done);
+    b.setRunning(r.tasks_running);
     b.setError(Txt(r.error));
     b.setRetryAfterS(static_cast<uint16_t>(r.retry_after_s));
   }
-  void operator()(const Report& r) {
+  void operator()(const Heartbeat& r) {
     auto b = f.initReport();
     b.setMachine(Txt(r.machine));
     b.setEndpoint(Txt(r.endpoint));
     b.setType(Txt(r.type));
     b.setZone(Txt(r.zone));
     b.setSpot(r.spot);
-    b.setSession(r.session);
-    b.setSeq(r.seq);
-    b.setToken(r.token);
-    b.setNoticeS(r.notice_s.value_or(-1));
+    b.setSession(r.agent_epoch);
+    b.setSeq(r.sequence);
+    b.setToken(r.fencing_token);
+    b.setNoticeS(r.preemption_notice_s.value_or(-1));
     auto list = b.initTasks(static_cast<unsigned>(r.tasks.size()));
     for (unsigned i = 0; i < list.size(); ++i) {
-      const TaskReport& t = r.tasks[i];
-      list[i].setTask(Txt(t.task));
+      const TaskStatus& t = r.tasks[i];
+      list[i].setTask(Txt(t.task_name));
       list[i].setAttempt(t.attempt);
       list[i].setState(static_cast<uint8_t>(t.state));
-      list[i].setWhy(static_cast<uint8_t>(t.why));
-      list[i].setSaved(t.saved);
+      list[i].setWhy(static_cast<uint8_t>(t.exit_reason));
+      list[i].setSaved(t.checkpointed);
     }
   }
-  void operator()(const ReportResponse& r) {
+  void operator()(const HeartbeatResponse& r) {
     auto b = f.initReportResponse();
     b.setStatus(static_cast<uint16_t>(r.status));
-    b.setToken(r.token);
-    b.setReportTo(Txt(r.report_to));
+    b.setToken(r.fencing_token);
+    b.setReportTo(Txt(r.redirect_to));
     auto list = b.initCommands(static_cast<unsigned>(r.commands.size()));
     for (unsigned i = 0; i < list.size(); ++i) {
       const Command& c = r.commands[i];
-      list[i].setOp(static_cast<uint8_t>(c.op));
-      list[i].setTask(Txt(c.task));
+      list[i].setOp(static_cast<uint8_t>(c.operation));
+      list[i].setTask(Txt(c.task_name));
       list[i].setAttempt(c.attempt);
-      list[i].setGraceS(c.grace_s);
+      list[i].setGraceS(c.grace_period_s);
     }
   }
 };
 
-void Read(mesh::Frame::Reader f, MeshFrame* out) {
+void Read(mesh::Frame::Reader f, PeerFrame* out) {
   out->id = f.getId();
   out->target = Str(f.getTarget());
   out->hops = f.getHops();
@@ -147,35 +147,35 @@
       break;
     case mesh::Frame::PING: {
       auto r = f.getPing();
-      MeshPing p;
+      PeerPing p;
       p.label = Str(r.getLabel());
       p.instance = r.getInstance();
-      p.leading = r.getLeading();
-      p.holding = r.getHolding();
-      p.informed = r.getInformed();
+      p.lease_valid = r.getLeading();
+      p.holds_leader_key = r.getHolding();
+      p.term_confirmed = r.getInformed();
       p.term = r.getTerm();
       p.leader = Str(r.getLeader());
-      for (auto t : r.getReaches()) p.reaches.push_back(Str(t));
+      for (auto t : r.getReaches()) p.reachable_peers.push_back(Str(t));
       out->body = std::move(p);
       break;
     }
     case mesh::Frame::USER_REQUEST: {
       auto r = f.getUserRequest();
-      UserRequest a;
-      a.op = static_cast<UserOp>(r.getOp() > 2 ? 0 : r.getOp());
-      a.id = Str(r.getId());
-      a.invalid = Str(r.getInvalid());
+      JobRequest a;
+      a.operation = static_cast<JobOperation>(r.getOp() > 2 ? 0 : r.getOp());
+      a.job_id = Str(r.getId());
+      a.validation_error = Str(r.getInvalid());
       if (r.hasJob()) Get(r.getJob(), &a.job);
       out->body = std::move(a);
       break;
     }
     case mesh::Frame::USER_RESPONSE: {
       auto r = f.getUserResponse();
-      UserResponse u;
+      JobResponse u;
       u.status = r.getStatus();
       u.state = static_cast<JobState>(r.getState() & 3);
-      u.done = r.getDone();
-      u.running = r.getRunning();
+      u.tasks_done = r.getDone();
+      u.tasks_running = r.getRunning();
       u.error = Str(r.getError());
       u.retry_after_s = r.getRetryAfterS();
       out->body = std::move(u);
@@ -183,23 +183,23 @@
     }
     case mesh::Frame::REPORT: {
       auto r = f.getReport();
-      Report p;
+      Heartbeat p;
       p.machine = Str(r.getMachine());
       p.endpoint = Str(r.getEndpoint());
       p.type = Str(r.getType());
       p.zone = Str(r.getZone());
       p.spot = r.getSpot();
-      p.session = r.getSession();
-      p.seq = r.getSeq();
-      p.token = r.getToken();
-      if (r.getNoticeS() >= 0) p.notice_s = r.getNoticeS();
+      p.agent_epoch = r.getSession();
+      p.sequence = r.getSeq();
+      p.fencing_token = r.getToken();
+      if (r.getNoticeS() >= 0) p.preemption_notice_s = r.getNoticeS();
       for (auto t : r.getTasks()) {
-        TaskReport row;
-        row.task = Str(t.getTask());
+        TaskStatus row;
+        row.task_name = Str(t.getTask());
         row.attempt = t.getAttempt();
         row.state = static_cast<TaskState>(t.getState() > 4 ? 3 : t.getState());
-        row.why = static_cast<ExitWhy>(t.getWhy() > 8 ? 3 : t.getWhy());
-        row.saved = t.getSaved();
+        row.exit_reason = static_cast<ExitReason>(t.getWhy() > 8 ? 3 : t.getWhy());
+        row.checkpointed = t.getSaved();
         p.tasks.push_back(std::move(row));
       }
       out->body = std::move(p);
@@ -207,16 +207,16 @@
     }
     case mesh::Frame::REPORT_RESPONSE: {
       auto r = f.getReportResponse();
-      ReportResponse p;
+      HeartbeatResponse p;
       p.status = r.getStatus();
-      p.token = r.getToken();
-      p.report_to = Str(r.getReportTo());
+      p.fencing_token = r.getToken();
+      p.redirect_to = Str(r.getReportTo());
       for (auto c : r.getCommands()) {
         Command row;
-        row.op = static_cast<CommandOp>(c.getOp() > 2 ? 2 : c.getOp());
-        row.task = Str(c.getTask());
+        row.operation = static_cast<CommandOp>(c.getOp() > 2 ? 2 : c.getOp());
+        row.task_name = Str(c.getTask());
         row.attempt = c.getAttempt();
-        row.grace_s = c.getGraceS();
+        row.grace_period_s = c.getGraceS();
         p.commands.push_back(std::move(row));
       }
       out->body = std::move(p);
@@ -227,7 +227,7 @@
 
 }  // namespace
 
-void EncodeFrame(const MeshFrame& frame, std::string* out) {
+void EncodeFrame(const PeerFrame& frame, std::string* out) {
   capnp::MallocMessageBuilder builder;
   auto f = builder.initRoot<mesh::Frame>();
   f.setId(frame.id);
@@ -241,7 +241,7 @@
   out->append(reinterpret_cast<const char*>(bytes.begin()), bytes.size());
 }
 
-bool DecodeFrame(std::string_view bytes, MeshFrame* frame) {
+bool DecodeFrame(std::string_view bytes, PeerFrame* frame) {
   if (bytes.empty() || bytes.size() % sizeof(capnp::word) != 0) return false;
   auto words = kj::heapArray<capnp::word>(bytes.size() / sizeof(capnp::word));
   std::memcpy(words.begin(), bytes.data(), bytes.size());
--- a/src/wire/mesh_codec.h
+++ b/src/wire/mesh_codec.h
@@ -12,29 +12,30 @@
 
 namespace deckhall {
 
-struct MeshPing {
+struct PeerPing {
   std::string label;
   uint64_t instance = 0;
-  bool leading = false;
-  bool holding = false;
-  bool informed = false;
+  bool lease_valid = false;
+  bool holds_leader_key = false;
+  bool term_confirmed = false;
   uint64_t term = 0;
   std::string leader;
-  std::vector<std::string> reaches;
+  std::vector<std::string> reachable_peers;
 };
 
-struct MeshFrame {
+struct PeerFrame {
   uint64_t id = 0;
   std::string target;
   uint8_t hops = 0;
-  std::variant<std::monostate, MeshPing, UserRequest, UserResponse, Report, ReportResponse> body;
+  std::variant<std::monostate, PeerPing, JobRequest, JobResponse, Heartbeat, HeartbeatResponse>
+      body;
 };
 
 constexpr size_t kMaxFrame = 4 << 20;
 
 // Appends the frame, length first.
-void EncodeFrame(const MeshFrame& frame, std::string* out);
+void EncodeFrame(const PeerFrame& frame, std::string* out);
 // False when the bytes are no frame.
-bool DecodeFrame(std::string_view bytes, MeshFrame* frame);
+bool DecodeFrame(std::string_view bytes, PeerFrame* frame);
 
 }  // namespace deckhall
--- a/src/wire/state_codec.cc
+++ b/src/wire/state_codec.cc
@@ -10,7 +10,7 @@
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-bool ReadRow(const JsonValue& row, KvRow* out) {
+bool ReadKeyValue(const JsonValue& row, KeyValue* out) {
   if (!JsonString(row, "key", &out->key) || !JsonU64(row, "huella", &out->version)) return false;
   const JsonValue* data = JsonMember(row, "data");
   if (data == nullptr) return false;
@@ -20,13 +20,13 @@
 
 }  // namespace
 
-std::string EncodeTxn(const Txn& txn) {
+std::string EncodeTransaction(const Transaction& txn) {
   rapidjson::StringBuffer buffer;
   JsonWriter w(buffer);
   w.StartObject();
   w.Key("if");
   w.StartArray();
-  for (const auto& c : txn.conditions) {
+  for (const auto& c : txn.preconditions) {
     w.StartObject();
     PutString(w, "key", c.key);
     w.Key("huella");
@@ -34,10 +34,10 @@
     w.EndObject();
   }
   w.EndArray();
-  if (!txn.writes.empty()) {
+  if (!txn.mutations.empty()) {
     w.Key("writes");
     w.StartArray();
-    for (const auto& op : txn.writes) {
+    for (const auto& op : txn.mutations) {
       w.StartObject();
       if (op.value.empty()) {
         PutString(w, "remove", op.key);
@@ -58,15 +58,15 @@
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-std::string EncodeGrant(int ttl_ms) { return "{\"ttl_ms\":" + std::to_string(ttl_ms) + "}"; }
+std::string EncodeLeaseGrant(int ttl_ms) { return "{\"ttl_ms\":" + std::to_string(ttl_ms) + "}"; }
 
-bool DecodeRow(std::string_view body, KvRow* out) {
+bool DecodeKeyValue(std::string_view body, KeyValue* out) {
   rapidjson::Document doc;
-  return ParseJson(body, &doc) && ReadRow(doc, out);
+  return ParseJson(body, &doc) && ReadKeyValue(doc, out);
 }
 
-bool DecodeRows(std::string_view body, std::vector<KvRow>* rows, bool* truncated,
-                uint64_t* revision) {
+bool DecodeKeyValues(std::string_view body, std::vector<KeyValue>* rows, bool* truncated,
+                     uint64_t* revision) {
   rapidjson::Document doc;
   if (!ParseJson(body, &doc)) return false;
   const JsonValue* items = JsonMember(doc, "rows");
@@ -75,8 +75,8 @@
   JsonBool(doc, "truncated", truncated);
   if (!JsonU64(doc, "marea", revision)) return false;
   for (const auto& item : items->GetArray()) {
-    KvRow row;
-    if (!ReadRow(item, &row)) return false;
+    KeyValue row;
+    if (!ReadKeyValue(item, &row)) return false;
     rows->push_back(std::move(row));
   }
   return true;
@@ -87,7 +87,7 @@
   return ParseJson(body, &doc) && JsonU64(doc, "marea", revision);
 }
 
-bool DecodeGrant(std::string_view body, uint64_t* lease) {
+bool DecodeLeaseGrant(std::string_view body, uint64_t* lease) {
   rapidjson::Document doc;
   return ParseJson(body, &doc) && JsonU64(doc, "amarre", lease) && *lease != 0;
 }
--- a/src/wire/state_codec.h
+++ b/src/wire/state_codec.h
@@ -10,35 +10,35 @@
 
 namespace deckhall {
 
-struct KvRow {
+struct KeyValue {
   std::string key;
   std::string value;  // JSON text
   uint64_t version = 0;
 };
 
-struct TxnCondition {
+struct Precondition {
   std::string key;
   uint64_t version = 0;
 };
 
-struct TxnWrite {
+struct Mutation {
   std::string key;
   std::string value;  // JSON text; empty deletes
   uint64_t lease = 0;
 };
 
-struct Txn {
-  std::vector<TxnCondition> conditions;
-  std::vector<TxnWrite> writes;
+struct Transaction {
+  std::vector<Precondition> preconditions;
+  std::vector<Mutation> mutations;
 };
 
-std::string EncodeTxn(const Txn& txn);
-std::string EncodeGrant(int ttl_ms);
-bool DecodeRow(std::string_view body, KvRow* out);
-bool DecodeRows(std::string_view body, std::vector<KvRow>* rows, bool* truncated,
-                uint64_t* revision);
+std::string EncodeTransaction(const Transaction& txn);
+std::string EncodeLeaseGrant(int ttl_ms);
+bool DecodeKeyValue(std::string_view body, KeyValue* out);
+bool DecodeKeyValues(std::string_view body, std::vector<KeyValue>* rows, bool* truncated,
+                     uint64_t* revision);
 // Any answer with a revision: a transaction's, a watch's, a 404's.
 bool DecodeRevision(std::string_view body, uint64_t* revision);
-bool DecodeGrant(std::string_view body, uint64_t* lease);
+bool DecodeLeaseGrant(std::string_view body, uint64_t* lease);
 
 }  // namespace deckhall
--- a/src/wire/types.h
+++ b/src/wire/types.h
@@ -18,20 +18,20 @@
   bool service = false;
   bool gang = false;  // all its tasks run at the same time
   Priority priority = Priority::kNormal;
-  uint32_t tasks = 0;
+  uint32_t task_count = 0;
   double cores = 0;
   double gpus = 0;
   double memory_gb = 0;
   std::string image;
   double image_gb = 0;
-  std::optional<std::vector<std::string>> types;  // none: any type
-  std::string zone;                               // empty: any zone
-  bool one_zone = false;
-  bool apart = false;
-  bool spot = false;
-  double estimate_s = 0;
-  double checkpoint_s = 0;
-  double save_s = 0;
+  std::optional<std::vector<std::string>> allowed_types;  // none: any type
+  std::string zone;                                       // empty: any zone
+  bool single_zone = false;
+  bool anti_affinity = false;
+  bool spot_tolerant = false;
+  double estimated_runtime_s = 0;
+  double checkpoint_interval_s = 0;
+  double checkpoint_grace_s = 0;
   std::optional<double> deadline_s;
 };
 
@@ -40,12 +40,12 @@
 enum class TaskState : uint8_t {
   kFetching = 0,
   kRunning = 1,
-  kSaving = 2,
+  kCheckpointing = 2,
   kExited = 3,
-  kGathering = 4
+  kWaitingForGang = 4
 };
 
-enum class ExitWhy : uint8_t {
+enum class ExitReason : uint8_t {
   kNone = 0,
   kDone = 1,
   kStopped = 2,
@@ -53,69 +53,69 @@
   kNoRoom = 4,
   kInUse = 5,
   kUnknown = 6,
-  kPeers = 7,      // another task of its gang ended
-  kIncomplete = 8  // its gang did not come together in time
+  kGangMemberLost = 7,  // another task of its gang ended
+  kGangIncomplete = 8   // its gang did not come together in time
 };
 
-struct TaskReport {
-  std::string task;  // "job-000412/3"
+struct TaskStatus {
+  std::string task_name;  // "job-000412/3"
   uint64_t attempt = 0;
   TaskState state = TaskState::kFetching;
-  ExitWhy why = ExitWhy::kNone;
-  bool saved = false;
+  ExitReason exit_reason = ExitReason::kNone;
+  bool checkpointed = false;
 };
 
-struct Report {
+struct Heartbeat {
   std::string machine;
   std::string endpoint;
   std::string type;
   std::string zone;
   bool spot = false;
-  uint64_t session = 0;
-  uint64_t seq = 0;
-  uint64_t token = 0;
-  std::optional<double> notice_s;
-  std::vector<TaskReport> tasks;
+  uint64_t agent_epoch = 0;
+  uint64_t sequence = 0;
+  uint64_t fencing_token = 0;
+  std::optional<double> preemption_notice_s;
+  std::vector<TaskStatus> tasks;
 };
 
-enum class CommandOp : uint8_t { kStart = 0, kStop = 1, kForget = 2 };
+enum class CommandOp : uint8_t { kStart = 0, kStop = 1, kAcknowledgeExit = 2 };
 
 struct Command {
-  CommandOp op = CommandOp::kStart;
-  std::string task;
+  CommandOp operation = CommandOp::kStart;
+  std::string task_name;
   uint64_t attempt = 0;
-  double grace_s = 0;
+  double grace_period_s = 0;
 };
 
 // Answer to a worker's report.
-struct ReportResponse {
+struct HeartbeatResponse {
   int status = 503;
-  uint64_t token = 0;
-  std::string report_to;  // with 421
+  uint64_t fencing_token = 0;
+  std::string redirect_to;  // with 421
   std::vector<Command> commands;
 };
 
-enum class UserOp : uint8_t { kGet = 0, kCancel = 1, kSubmit = 2 };
+enum class JobOperation : uint8_t { kGet = 0, kCancel = 1, kSubmit = 2 };
 
-struct UserRequest {
-  UserOp op = UserOp::kGet;
-  std::string id;
-  std::string invalid;  // submit: why the body is no valid job; empty when it is
+struct JobRequest {
+  JobOperation operation = JobOperation::kGet;
+  std::string job_id;
+  std::string validation_error;  // submit: why the body is no valid job; empty when it is
   JobSpec job;
 };
 
-struct UserResponse {
+struct JobResponse {
   int status = 503;
   JobState state = JobState::kPending;
-  uint32_t done = 0;
-  uint32_t running = 0;
+  uint32_t tasks_done = 0;
+  uint32_t tasks_running = 0;
   std::string error;
   int retry_after_s = 0;
 };
 
 // 503: the request can't be served now; the user is told when to come back.
-inline UserResponse Unavailable(const char* why, int retry_after_s = 1) {
-  UserResponse response;
+inline JobResponse UnavailableResponse(const char* why, int retry_after_s = 1) {
+  JobResponse response;
   response.status = 503;
   response.error = why;
   response.retry_after_s = retry_after_s;
@@ -135,15 +135,15 @@
   std::vector<std::string> zones;
 };
 
-enum class ListedState : uint8_t { kStarting = 0, kRunning = 1, kFailed = 2 };
+enum class InstanceState : uint8_t { kStarting = 0, kRunning = 1, kFailed = 2 };
 
-struct ListedMachine {
+struct CloudInstance {
   std::string name;
   std::string endpoint;
   std::string type;
   std::string zone;
   bool spot = false;
-  ListedState state = ListedState::kStarting;
+  InstanceState state = InstanceState::kStarting;
   double age_s = 0;
 };
 
--- a/src/wire/worker_codec.cc
+++ b/src/wire/worker_codec.cc
@@ -12,24 +12,28 @@
 };
 constexpr StateWord kStateWords[] = {{TaskState::kFetching, "pulling"},
                                      {TaskState::kRunning, "running"},
-                                     {TaskState::kSaving, "flushing"},
-                                     {TaskState::kGathering, "gathering"},
+                                     {TaskState::kCheckpointing, "flushing"},
+                                     {TaskState::kWaitingForGang, "gathering"},
                                      {TaskState::kExited, "ended"}};
 struct ExitWord {
-  ExitWhy why;
+  ExitReason reason;
   const char* word;
 };
-constexpr ExitWord kExitWords[] = {
-    {ExitWhy::kDone, "done"},    {ExitWhy::kStopped, "stopped"},
-    {ExitWhy::kError, "error"},  {ExitWhy::kNoRoom, "no_room"},
-    {ExitWhy::kInUse, "in_use"}, {ExitWhy::kUnknown, "unknown"},
-    {ExitWhy::kPeers, "peers"},  {ExitWhy::kIncomplete, "incomplete"}};
+constexpr ExitWord kExitWords[] = {{ExitReason::kDone, "done"},
+                                   {ExitReason::kStopped, "stopped"},
+                                   {ExitReason::kError, "error"},
+                                   {ExitReason::kNoRoom, "no_room"},
+                                   {ExitReason::kInUse, "in_use"},
+                                   {ExitReason::kUnknown, "unknown"},
+                                   {ExitReason::kGangMemberLost, "peers"},
+                                   {ExitReason::kGangIncomplete, "incomplete"}};
 struct OpWord {
-  CommandOp op;
+  CommandOp operation;
   const char* word;
 };
-constexpr OpWord kOpWords[] = {
-    {CommandOp::kStart, "launch"}, {CommandOp::kStop, "stop"}, {CommandOp::kForget, "clear"}};
+constexpr OpWord kOpWords[] = {{CommandOp::kStart, "launch"},
+                               {CommandOp::kStop, "stop"},
+                               {CommandOp::kAcknowledgeExit, "clear"}};
 
 bool ReadTaskState(const std::string& word, TaskState* out) {
   for (const StateWord& known : kStateWords) {
@@ -41,11 +45,11 @@
 }
 
 // A reason we do not know is treated like a failure: the task is not done.
-ExitWhy ReadWhy(const std::string& word) {
+ExitReason ReadExitReason(const std::string& word) {
   for (const ExitWord& known : kExitWords) {
-    if (word == known.word) return known.why;
+    if (word == known.word) return known.reason;
   }
-  return ExitWhy::kError;
+  return ExitReason::kError;
 }
 
 const char* WordOf(TaskState state) {
@@ -55,16 +59,16 @@
   return "";
 }
 
-const char* WordOf(ExitWhy why) {
+const char* WordOf(ExitReason why) {
   for (const ExitWord& known : kExitWords) {
-    if (why == known.why) return known.word;
+    if (why == known.reason) return known.word;
   }
   return "error";
 }
 
 const char* WordOf(CommandOp op) {
   for (const OpWord& known : kOpWords) {
-    if (op == known.op) return known.word;
+    if (op == known.operation) return known.word;
   }
   return "";
 }
@@ -74,13 +78,13 @@
   w.StartArray();
   for (const Command& c : commands) {
     w.StartObject();
-    PutString(w, "maniobra", WordOf(c.op));
-    PutString(w, "faena", c.task);
+    PutString(w, "maniobra", WordOf(c.operation));
+    PutString(w, "faena", c.task_name);
     w.Key("intento");
     w.Uint64(c.attempt);
-    if (c.op == CommandOp::kStop) {
+    if (c.operation == CommandOp::kStop) {
       w.Key("tregua_s");
-      w.Double(c.grace_s);
+      w.Double(c.grace_period_s);
     }
     w.EndObject();
   }
@@ -89,7 +93,7 @@
 
 }  // namespace
 
-bool DecodeReport(std::string_view body, Report* r) {
+bool DecodeHeartbeat(std::string_view body, Heartbeat* r) {
   rapidjson::Document doc;
   if (!ParseJson(body, &doc) || !doc.IsObject()) return false;
   if (!JsonString(doc, "cubierta", &r->machine) || r->machine.empty() || r->machine.size() > 100) {
@@ -100,32 +104,33 @@
     return false;
   }
   JsonBool(doc, "prestados", &r->spot);
-  if (!JsonU64(doc, "guardia", &r->session) || !JsonU64(doc, "correlativo", &r->seq)) return false;
-  JsonU64(doc, "mando", &r->token);
+  if (!JsonU64(doc, "guardia", &r->agent_epoch) || !JsonU64(doc, "correlativo", &r->sequence))
+    return false;
+  JsonU64(doc, "mando", &r->fencing_token);
   double notice = 0;
-  if (JsonNumber(doc, "aviso_s", &notice)) r->notice_s = notice;
+  if (JsonNumber(doc, "aviso_s", &notice)) r->preemption_notice_s = notice;
   const JsonValue* tasks = JsonMember(doc, "faenas");
   if (tasks == nullptr) return true;
   if (!tasks->IsArray()) return false;
   for (const auto& t : tasks->GetArray()) {
-    TaskReport row;
+    TaskStatus row;
     std::string word;
-    if (!JsonString(t, "faena", &row.task) || !JsonU64(t, "intento", &row.attempt) ||
+    if (!JsonString(t, "faena", &row.task_name) || !JsonU64(t, "intento", &row.attempt) ||
         !JsonString(t, "estado", &word) || !ReadTaskState(word, &row.state)) {
       return false;
     }
     if (row.state == TaskState::kExited) {
       word.clear();
       JsonString(t, "motivo", &word);
-      row.why = ReadWhy(word);
-      JsonBool(t, "saved", &row.saved);
+      row.exit_reason = ReadExitReason(word);
+      JsonBool(t, "saved", &row.checkpointed);
     }
     r->tasks.push_back(std::move(row));
   }
   return true;
 }
 
-std::string EncodeReport(const Report& r) {
+std::string EncodeHeartbeat(const Heartbeat& r) {
   rapidjson::StringBuffer buffer;
   JsonWriter w(buffer);
   w.StartObject();
@@ -136,27 +141,27 @@
   w.Key("prestados");
   w.Bool(r.spot);
   w.Key("guardia");
-  w.Uint64(r.session);
+  w.Uint64(r.agent_epoch);
   w.Key("correlativo");
-  w.Uint64(r.seq);
+  w.Uint64(r.sequence);
   w.Key("mando");
-  w.Uint64(r.token);
-  if (r.notice_s) {
+  w.Uint64(r.fencing_token);
+  if (r.preemption_notice_s) {
     w.Key("aviso_s");
-    w.Double(*r.notice_s);
+    w.Double(*r.preemption_notice_s);
   }
   w.Key("faenas");
   w.StartArray();
-  for (const TaskReport& t : r.tasks) {
+  for (const TaskStatus& t : r.tasks) {
     w.StartObject();
-    PutString(w, "faena", t.task);
+    PutString(w, "faena", t.task_name);
     w.Key("intento");
     w.Uint64(t.attempt);
     PutString(w, "estado", WordOf(t.state));
     if (t.state == TaskState::kExited) {
-      PutString(w, "motivo", WordOf(t.why));
+      PutString(w, "motivo", WordOf(t.exit_reason));
       w.Key("saved");
-      w.Bool(t.saved);
+      w.Bool(t.checkpointed);
     }
     w.EndObject();
   }
@@ -165,44 +170,44 @@
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-bool DecodeOrders(std::string_view body, WorkerOrders* orders) {
+bool DecodeCommands(std::string_view body, WorkerCommands* orders) {
   rapidjson::Document doc;
-  if (!ParseJson(body, &doc) || !JsonU64(doc, "mando", &orders->token)) return false;
-  JsonU64(doc, "guardia", &orders->session);
+  if (!ParseJson(body, &doc) || !JsonU64(doc, "mando", &orders->fencing_token)) return false;
+  JsonU64(doc, "guardia", &orders->agent_epoch);
   const JsonValue* rows = JsonMember(doc, "ordenes");
   if (rows == nullptr) return true;
   if (!rows->IsArray()) return false;
   for (const auto& row : rows->GetArray()) {
     Command command;
     std::string word;
-    if (!JsonString(row, "maniobra", &word) || !JsonString(row, "faena", &command.task) ||
+    if (!JsonString(row, "maniobra", &word) || !JsonString(row, "faena", &command.task_name) ||
         !JsonU64(row, "intento", &command.attempt)) {
       return false;
     }
     bool known = false;
     for (const OpWord& op : kOpWords) {
       if (word != op.word) continue;
-      command.op = op.op;
+      command.operation = op.operation;
       known = true;
     }
     // What a worker does not know it leaves out.
     if (!known) continue;
-    JsonNumber(row, "tregua_s", &command.grace_s);
+    JsonNumber(row, "tregua_s", &command.grace_period_s);
     orders->commands.push_back(std::move(command));
   }
   return true;
 }
 
-std::string EncodeReportResponse(const ReportResponse& reply) {
+std::string EncodeHeartbeatResponse(const HeartbeatResponse& reply) {
   rapidjson::StringBuffer buffer;
   JsonWriter w(buffer);
   w.StartObject();
   if (reply.status == 200) {
     w.Key("mando");
-    w.Uint64(reply.token);
+    w.Uint64(reply.fencing_token);
     WriteCommands(w, reply.commands);
-  } else if (!reply.report_to.empty()) {
-    PutString(w, "capitan", reply.report_to);
+  } else if (!reply.redirect_to.empty()) {
+    PutString(w, "capitan", reply.redirect_to);
   } else {
     PutString(w, "error", "no leader");
   }
--- a/src/wire/worker_codec.h
+++ b/src/wire/worker_codec.h
@@ -9,16 +9,16 @@
 
 namespace deckhall {
 
-bool DecodeReport(std::string_view body, Report* report);
-std::string EncodeReportResponse(const ReportResponse& reply);
+bool DecodeHeartbeat(std::string_view body, Heartbeat* report);
+std::string EncodeHeartbeatResponse(const HeartbeatResponse& reply);
 // What a worker sends, and how it reads what it is told. `session` of an answer to a report is 0.
-std::string EncodeReport(const Report& report);
-struct WorkerOrders {
-  uint64_t token = 0;
-  uint64_t session = 0;
+std::string EncodeHeartbeat(const Heartbeat& report);
+struct WorkerCommands {
+  uint64_t fencing_token = 0;
+  uint64_t agent_epoch = 0;
   std::vector<Command> commands;
 };
-bool DecodeOrders(std::string_view body, WorkerOrders* orders);
+bool DecodeCommands(std::string_view body, WorkerCommands* orders);
 std::string EncodeCommands(uint64_t token, uint64_t session, const std::vector<Command>& commands);
 
 }  // namespace deckhall
--- a/tests/cluster.cc
+++ b/tests/cluster.cc
@@ -56,14 +56,14 @@
     const CutNow* cut = c->Blocked(self.lock()->name, NodeName(peers[peer]));
     return other && (cut == nullptr || cut->mode != CutMode::kRefuse);
   }
-  void Send(size_t peer, const MeshFrame& frame) override {
+  void Send(size_t peer, const PeerFrame& frame) override {
     auto from = self.lock();
     auto to = c->shells_[peers[peer]];
     if (!to) return;
     Cluster* cluster = c;
     cluster->Carry(from->name, to->name, [cluster, from, to, peer, frame] {
       cluster->OnNode(to, [cluster, from, to, peer, frame] {
-        to->controller->mesh().OnRequest(frame, [cluster, from, to, peer](const MeshFrame& reply) {
+        to->controller->mesh().OnRequest(frame, [cluster, from, to, peer](const PeerFrame& reply) {
           cluster->Carry(to->name, from->name, [cluster, from, peer, reply] {
             cluster->OnNode(
                 from, [from, peer, reply] { from->controller->mesh().OnAnswer(peer, reply); });
@@ -131,7 +131,7 @@
       return out;
     };
   }
-  void Commit(const Txn& txn, Done done) override {
+  void Commit(const Transaction& txn, Done done) override {
     Ask(kCommitTimeout, true, Act([txn](FakeState* s, const Done& d) { s->Commit(txn, d); }), done);
   }
   void Get(const std::string& key, Done done) override {
@@ -217,22 +217,22 @@
         },
         false, [done](const bool& ok) { done(ok); });
   }
-  using Rows = std::optional<std::vector<ListedMachine>>;
+  using Rows = std::optional<std::vector<CloudInstance>>;
   void List(const std::string&,
-            std::function<void(bool, std::vector<ListedMachine>, bool)> done) override {
+            std::function<void(bool, std::vector<CloudInstance>, bool)> done) override {
     Ask<Rows>(
         [c = c]() -> Rows {
-          std::vector<ListedMachine> rows;
+          std::vector<CloudInstance> rows;
           for (const auto& [name, w] : c->workers) {
             if (w.gone) continue;
             rows.push_back({name, w.report.endpoint, w.report.type, w.report.zone, w.report.spot,
-                            ListedState::kRunning, c->clock_.now});
+                            InstanceState::kRunning, c->clock_.now});
           }
           return rows;
         },
         std::nullopt,
         [done](const Rows& rows) {
-          done(rows.has_value(), rows.value_or(std::vector<ListedMachine>()), false);
+          done(rows.has_value(), rows.value_or(std::vector<CloudInstance>()), false);
         });
   }
 };
@@ -313,9 +313,9 @@
         [c = c, token, session, commands, sent = c->clock_.now](SimWorker* w) {
           WorkerAnswer a;
           a.sent = a.has_report = true;
-          const bool ok = token >= w->report.token && session == w->report.session;
+          const bool ok = token >= w->report.fencing_token && session == w->report.agent_epoch;
           if (ok) c->Execute(w, sent, token, commands);
-          ++w->report.seq;
+          ++w->report.sequence;
           a.status = ok ? 200 : 409;
           a.report = w->report;
           return a;
@@ -329,7 +329,7 @@
           WorkerAnswer a;
           a.sent = a.has_report = true;
           a.status = 200;
-          ++w->report.seq;
+          ++w->report.sequence;
           a.report = w->report;
           return a;
         },
@@ -524,7 +524,7 @@
   w.report.type = "box";
   w.report.zone = zone;
   w.report.spot = spot;
-  w.report.session = 1;
+  w.report.agent_epoch = 1;
   w.rate = std::uniform_real_distribution<double>(0.9995, 1.0005)(random_);
   w.node = workers.size() % shells_.size();
   w.lease_from = clock_.now;
@@ -548,10 +548,11 @@
 
 void Cluster::ReplayReports(const std::string& machine, double after_s) {
   After(after_s, [this, sent = workers[machine].sent] {
-    for (const Report& r : sent) {
+    for (const Heartbeat& r : sent) {
       for (const auto& shell : shells_) {
         if (!shell) continue;
-        OnNode(shell, [shell, r] { shell->controller->CheckIn(r, [](const ReportResponse&) {}); });
+        OnNode(shell,
+               [shell, r] { shell->controller->CheckIn(r, [](const HeartbeatResponse&) {}); });
       }
     }
   });
@@ -559,8 +560,8 @@
 
 void Cluster::NoteStops(uint64_t token, const std::vector<Command>& commands) {
   for (const Command& c : commands) {
-    if (c.op == CommandOp::kStop)
-      stop_sent_.try_emplace({c.task, c.attempt, TermOf(token)}, clock_.now);
+    if (c.operation == CommandOp::kStop)
+      stop_sent_.try_emplace({c.task_name, c.attempt, TermOf(token)}, clock_.now);
   }
 }
 
@@ -574,33 +575,33 @@
   }
 }
 
-void Cluster::EndTask(SimWorker* w, TaskReport* t, ExitWhy why) {
+void Cluster::EndTask(SimWorker* w, TaskStatus* t, ExitReason why) {
   std::string job;
   uint32_t task = 0;
-  SplitName(t->task, &job, &task);
+  SplitName(t->task_name, &job, &task);
   t->state = TaskState::kExited;
-  t->why = why;
-  w->ends_at.erase(t->task);
-  oracle->Ended(clock_.now, job, task, w->report.machine, why == ExitWhy::kDone);
-  if (disruption) disruption->Ended(clock_.now, t->task, w->report.machine);
+  t->exit_reason = why;
+  w->ends_at.erase(t->task_name);
+  oracle->Ended(clock_.now, job, task, w->report.machine, why == ExitReason::kDone);
+  if (disruption) disruption->Ended(clock_.now, t->task_name, w->report.machine);
 }
 
 void Cluster::CheckLease(SimWorker* w) {
   if ((clock_.now - w->lease_from) * w->rate <= settings.lease_s) return;
-  for (TaskReport& t : w->report.tasks) {
-    if (t.state != TaskState::kExited) EndTask(w, &t, ExitWhy::kStopped);
+  for (TaskStatus& t : w->report.tasks) {
+    if (t.state != TaskState::kExited) EndTask(w, &t, ExitReason::kStopped);
   }
   w->report.tasks.clear();
-  ++w->report.session;
+  ++w->report.agent_epoch;
   w->lease_from = clock_.now;
   w->next_report = clock_.now;
 }
 
 double Cluster::Used(const SimWorker& w) const {
   double cores = 0;
-  for (const TaskReport& t : w.report.tasks) {
+  for (const TaskStatus& t : w.report.tasks) {
     if (t.state == TaskState::kExited) continue;
-    cores += specs_.at(t.task.substr(0, t.task.rfind('/'))).cores;
+    cores += specs_.at(t.task_name.substr(0, t.task_name.rfind('/'))).cores;
   }
   return cores;
 }
@@ -608,47 +609,50 @@
 void Cluster::Launch(SimWorker* w, double commanded_at, const Command& c) {
   std::string job;
   uint32_t task = 0;
-  SplitName(c.task, &job, &task);
-  TaskReport t{c.task, c.attempt, TaskState::kRunning, ExitWhy::kNone, false};
-  auto refuse = [w, &t](ExitWhy why) {
+  SplitName(c.task_name, &job, &task);
+  TaskStatus t{c.task_name, c.attempt, TaskState::kRunning, ExitReason::kNone, false};
+  auto refuse = [w, &t](ExitReason why) {
     t.state = TaskState::kExited;
-    t.why = why;
+    t.exit_reason = why;
     w->report.tasks.push_back(t);
   };
-  const bool here = std::any_of(
-      w->report.tasks.begin(), w->report.tasks.end(),
-      [&c](const TaskReport& o) { return o.task == c.task && o.state != TaskState::kExited; });
-  if (!specs_.contains(job)) return refuse(ExitWhy::kUnknown);
-  if (here) return refuse(ExitWhy::kInUse);
+  const bool here =
+      std::any_of(w->report.tasks.begin(), w->report.tasks.end(), [&c](const TaskStatus& o) {
+        return o.task_name == c.task_name && o.state != TaskState::kExited;
+      });
+  if (!specs_.contains(job)) return refuse(ExitReason::kUnknown);
+  if (here) return refuse(ExitReason::kInUse);
   const JobSpec& spec = specs_.at(job);
-  if (Used(*w) + spec.cores > cloud_.types[0].cores + 1e-6) return refuse(ExitWhy::kNoRoom);
-  if (spec.gang) t.state = TaskState::kGathering;
+  if (Used(*w) + spec.cores > cloud_.types[0].cores + 1e-6) return refuse(ExitReason::kNoRoom);
+  if (spec.gang) t.state = TaskState::kWaitingForGang;
   w->report.tasks.push_back(t);
-  if (!spec.service && !spec.gang) w->ends_at[c.task] = clock_.now + run_s + task * spread_s;
+  if (!spec.service && !spec.gang) w->ends_at[c.task_name] = clock_.now + run_s + task * spread_s;
   oracle->Started(clock_.now, commanded_at, job, task,
                   {w->report.machine, w->report.type, w->report.zone, w->report.spot, 0, 0});
   if (disruption && spec.service) {
-    disruption->Started(clock_.now, c.task, spec, w->report.machine);
+    disruption->Started(clock_.now, c.task_name, spec, w->report.machine);
   }
 }
 
 void Cluster::Execute(SimWorker* w, double commanded_at, uint64_t token,
                       const std::vector<Command>& commands) {
-  if (token > w->report.token) w->next_report = std::min(w->next_report, clock_.now + 0.5);
-  w->report.token = std::max(w->report.token, token);
+  if (token > w->report.fencing_token) w->next_report = std::min(w->next_report, clock_.now + 0.5);
+  w->report.fencing_token = std::max(w->report.fencing_token, token);
   for (const Command& c : commands) {
     auto it = std::find_if(
         w->report.tasks.begin(), w->report.tasks.end(),
-        [&c](const TaskReport& t) { return t.task == c.task && t.attempt == c.attempt; });
+        [&c](const TaskStatus& t) { return t.task_name == c.task_name && t.attempt == c.attempt; });
     const bool known = it != w->report.tasks.end();
-    if (c.op == CommandOp::kStart && !known) {
+    if (c.operation == CommandOp::kStart && !known) {
       Launch(w, commanded_at, c);
-    } else if (c.op == CommandOp::kStop && known && it->state != TaskState::kExited) {
+    } else if (c.operation == CommandOp::kStop && known && it->state != TaskState::kExited) {
       if (disruption) {
-        disruption->Stopped(clock_.now, stop_sent_[{c.task, c.attempt, TermOf(token)}], c.task);
+        disruption->Stopped(clock_.now, stop_sent_[{c.task_name, c.attempt, TermOf(token)}],
+                            c.task_name);
       }
-      EndTask(w, &*it, ExitWhy::kStopped);
-    } else if (c.op == CommandOp::kForget && known && it->state == TaskState::kExited) {
+      EndTask(w, &*it, ExitReason::kStopped);
+    } else if (c.operation == CommandOp::kAcknowledgeExit && known &&
+               it->state == TaskState::kExited) {
       w->report.tasks.erase(it);
       continue;
     } else {
@@ -664,10 +668,10 @@
   After(kWorkerTick, [this, name] { WorkerTick(name); });
   CheckLease(&w);  // what hangs beyond its lease never goes on
   if (clock_.now < w.hangs_until) return;
-  for (TaskReport& t : w.report.tasks) {
-    auto it = w.ends_at.find(t.task);
+  for (TaskStatus& t : w.report.tasks) {
+    auto it = w.ends_at.find(t.task_name);
     if (t.state == TaskState::kExited || it == w.ends_at.end() || clock_.now < it->second) continue;
-    EndTask(&w, &t, ExitWhy::kDone);
+    EndTask(&w, &t, ExitReason::kDone);
     w.next_report = std::min(w.next_report, clock_.now);
   }
   if (!w.waiting && clock_.now >= w.next_report) SendReport(name);
@@ -686,7 +690,7 @@
     NextNode(&w, 1);
     return;
   }
-  ++w.report.seq;
+  ++w.report.sequence;
   w.waiting = true;
   const uint64_t number = ++w.asked;
   const double sent = clock_.now;
@@ -702,8 +706,8 @@
   Carry(name, shell->name, [this, shell, name, number, sent, report = w.report] {
     OnNode(shell, [this, shell, name, number, sent, report] {
       shell->controller->CheckIn(
-          report, [this, shell, name, number, sent](const ReportResponse& r) {
-            NoteStops(r.token, r.commands);
+          report, [this, shell, name, number, sent](const HeartbeatResponse& r) {
+            NoteStops(r.fencing_token, r.commands);
             Carry(shell->name, name, [this, name, number, sent, answered = clock_.now, r] {
               Reported(name, number, sent, answered, r);
             });
@@ -713,7 +717,7 @@
 }
 
 void Cluster::Reported(const std::string& name, uint64_t number, double sent, double answered,
-                       const ReportResponse& r) {
+                       const HeartbeatResponse& r) {
   SimWorker& w = workers[name];
   if (w.gone || !w.waiting || w.asked != number || clock_.now < w.deaf_until ||
       clock_.now < w.hangs_until) {
@@ -721,8 +725,8 @@
   }
   w.waiting = false;
   std::uniform_real_distribution<double> jitter(0.75, 1.25);
-  if (r.status == 421 && !r.report_to.empty()) {
-    w.node = static_cast<size_t>(std::stoul(r.report_to.substr(1)));
+  if (r.status == 421 && !r.redirect_to.empty()) {
+    w.node = static_cast<size_t>(std::stoul(r.redirect_to.substr(1)));
     w.next_report = clock_.now + 0.1;
     return;
   }
@@ -731,38 +735,38 @@
     return;
   }
   w.next_report = clock_.now + settings.report_s * jitter(random_);
-  const uint64_t session = w.report.session;
+  const uint64_t session = w.report.agent_epoch;
   CheckLease(&w);
-  if (r.token < w.report.token || session != w.report.session) return;
+  if (r.fencing_token < w.report.fencing_token || session != w.report.agent_epoch) return;
   w.lease_from = sent;
-  Execute(&w, answered, r.token, r.commands);
+  Execute(&w, answered, r.fencing_token, r.commands);
 }
 
-void Cluster::Ask(UserOp op, const std::string& id,
-                  const std::function<void(const UserResponse&)>& done) {
+void Cluster::Ask(JobOperation op, const std::string& id,
+                  const std::function<void(const JobResponse&)>& done) {
   auto settled = std::make_shared<bool>(false);
-  auto answer = [this, op, id, settled, done, asked = clock_.now](const UserResponse& r) {
+  auto answer = [this, op, id, settled, done, asked = clock_.now](const JobResponse& r) {
     if (std::exchange(*settled, true)) return;
     if (r.status == 200 && r.state == JobState::kDone) over_.insert(id);
     oracle->Told(clock_.now, asked, op, id, r);
     done(r);
   };
-  UserResponse none;
+  JobResponse none;
   none.status = 0;
-  After(op == UserOp::kGet ? kPollTimeout : kAskTimeout, [answer, none] { answer(none); });
+  After(op == JobOperation::kGet ? kPollTimeout : kAskTimeout, [answer, none] { answer(none); });
   std::vector<std::shared_ptr<Shell>> up;
   for (const auto& shell : shells_) {
     if (shell && shell->controller->Up()) up.push_back(shell);
   }
   if (up.empty()) return;
   auto shell = up[std::uniform_int_distribution<size_t>(0, up.size() - 1)(random_)];
-  UserRequest ask;
-  ask.op = op;
-  ask.id = id;
-  if (op == UserOp::kSubmit) ask.job = specs_.at(id);
+  JobRequest ask;
+  ask.operation = op;
+  ask.job_id = id;
+  if (op == JobOperation::kSubmit) ask.job = specs_.at(id);
   Carry("users", shell->name, [this, shell, ask, answer] {
     OnNode(shell, [this, shell, ask, answer] {
-      shell->controller->User(ask, [this, shell, answer](const UserResponse& r) {
+      shell->controller->User(ask, [this, shell, answer](const JobResponse& r) {
         Carry(shell->name, "users", [answer, r] { answer(r); });
       });
     });
@@ -772,7 +776,7 @@
 void Cluster::Submit(const JobSpec& spec) {
   specs_[spec.id] = spec;
   oracle->Asked(spec);
-  Ask(UserOp::kSubmit, spec.id, [this, spec](const UserResponse& r) {
+  Ask(JobOperation::kSubmit, spec.id, [this, spec](const JobResponse& r) {
     if (r.status == 200 || r.status == 201) {
       if (accepted_.insert(spec.id).second) Poll(spec.id);
     } else if (r.status != 400 && r.status != 422) {
@@ -784,7 +788,7 @@
 void Cluster::Cancel(const std::string& id) {
   if (disruption) disruption->JobOver(id);
   oracle->CancelAsked(id);
-  Ask(UserOp::kCancel, id, [this, id](const UserResponse& r) {
+  Ask(JobOperation::kCancel, id, [this, id](const JobResponse& r) {
     if (r.status == 200) {
       if (r.state == JobState::kCancelled) cancelled_.insert(id);
     } else if (r.status != 404) {
@@ -793,19 +797,19 @@
   });
 }
 
-void Cluster::AskOnce(UserOp op, const std::string& id) {
-  Ask(op, id, [](const UserResponse&) {});
+void Cluster::AskOnce(JobOperation op, const std::string& id) {
+  Ask(op, id, [](const JobResponse&) {});
 }
 
 void Cluster::SubmitHopeless(const std::string& id) {
   JobSpec spec = Array(id, 1, cloud_.types[0].cores + 1);
   specs_[id] = spec;
   oracle->AskedHopeless(id);
-  Ask(UserOp::kSubmit, id, [](const UserResponse&) {});
+  Ask(JobOperation::kSubmit, id, [](const JobResponse&) {});
 }
 
 void Cluster::Poll(const std::string& id) {
-  Ask(UserOp::kGet, id, [](const UserResponse&) {});
+  Ask(JobOperation::kGet, id, [](const JobResponse&) {});
   std::uniform_real_distribution<double> jitter(0.8, 1.2);
   After(kPollEvery * jitter(random_), [this, id] { Poll(id); });
 }
@@ -877,8 +881,8 @@
 
 std::string Cluster::MachineOf(const std::string& task) const {
   for (const auto& [name, w] : workers) {
-    for (const TaskReport& t : w.report.tasks) {
-      if (!w.gone && t.task == task && t.state != TaskState::kExited) return name;
+    for (const TaskStatus& t : w.report.tasks) {
+      if (!w.gone && t.task_name == task && t.state != TaskState::kExited) return name;
     }
   }
   return "";
--- a/tests/cluster.h
+++ b/tests/cluster.h
@@ -20,7 +20,7 @@
 
 // A worker as PROTOCOL describes it: lease, sessions, tokens, reports to one node.
 struct SimWorker {
-  Report report;
+  Heartbeat report;
   size_t node = 0;         // reports to it
   double next_report = 0;  // no report before
   double lease_from = 0;   // sending time of the last answered report, or its beginning
@@ -32,7 +32,7 @@
   bool gone = false;
   double rate = 1;                        // of its steady clock
   std::map<std::string, double> ends_at;  // by task
-  std::vector<Report> sent;               // for late copies
+  std::vector<Heartbeat> sent;            // for late copies
 };
 
 // A process's own clocks: the steady one drifts, the time of day is off, both within
@@ -84,7 +84,7 @@
   void Submit(const JobSpec& spec);
   void Cancel(const std::string& id);
   // Asked once, whatever the answer: repeats, and what no user should ask.
-  void AskOnce(UserOp op, const std::string& id);
+  void AskOnce(JobOperation op, const std::string& id);
   void SubmitHopeless(const std::string& id);
   JobSpec Array(const std::string& id, uint32_t tasks, double cores = 2) const {
     return ArraySpec(id, tasks, cores);
@@ -160,7 +160,7 @@
   void WorkerTick(const std::string& name);
   void SendReport(const std::string& name);
   void Reported(const std::string& name, uint64_t number, double sent, double answered,
-                const ReportResponse& r);
+                const HeartbeatResponse& r);
   void NextNode(SimWorker* w, double after_s);
   void CheckLease(SimWorker* w);
   void Execute(SimWorker* w, double commanded_at, uint64_t token,
@@ -170,12 +170,12 @@
   // A drain names it: it takes no new tasks.
   bool Drained(const SimWorker& w) const;
   void NoteStops(uint64_t token, const std::vector<Command>& commands);
-  void EndTask(SimWorker* w, TaskReport* t, ExitWhy why);
+  void EndTask(SimWorker* w, TaskStatus* t, ExitReason why);
   double Used(const SimWorker& w) const;
   // Tasks of gangs start, end, and notice lost ones (cluster_gangs.cc).
   struct GangTask {
     SimWorker* worker;
-    TaskReport* task;
+    TaskStatus* task;
   };
   struct GangAttempt {
     bool started = false;
@@ -186,7 +186,8 @@
   void StepGangs();
   void StepGang(const JobSpec& spec, const std::vector<GangTask>& there, GangAttempt* attempt);
   void Poll(const std::string& id);
-  void Ask(UserOp op, const std::string& id, const std::function<void(const UserResponse&)>& done);
+  void Ask(JobOperation op, const std::string& id,
+           const std::function<void(const JobResponse&)>& done);
   void Watch();
 
   FakeClock clock_;
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -152,19 +152,18 @@
   w.state.committed.clear();
   int accepted = 0;
   for (int i = 0; i < 100; ++i) {
-    UserRequest ask;
-    ask.op = UserOp::kSubmit;
-    ask.id = "job-" + std::to_string(i);
-    ask.job = w.Array(ask.id, 3);
-    w.leader->User(ask,
-                   [&accepted](const UserResponse& r) { accepted += r.status == 201 ? 1 : 0; });
+    JobRequest ask;
+    ask.operation = JobOperation::kSubmit;
+    ask.job_id = "job-" + std::to_string(i);
+    ask.job = w.Array(ask.job_id, 3);
+    w.leader->User(ask, [&accepted](const JobResponse& r) { accepted += r.status == 201 ? 1 : 0; });
   }
   w.Settle();
   EXPECT_EQ(accepted, 100);
   size_t puts = 0;
-  for (const Txn& t : w.state.committed) {
-    puts += t.writes.size();
-    for (const TxnWrite& write : t.writes) EXPECT_LE(write.value.size(), 8192U);
+  for (const Transaction& t : w.state.committed) {
+    puts += t.mutations.size();
+    for (const Mutation& write : t.mutations) EXPECT_LE(write.value.size(), 8192U);
   }
   EXPECT_LE(puts, 20U);
 }
--- a/tests/drain_loopback_test.cc
+++ b/tests/drain_loopback_test.cc
@@ -79,7 +79,7 @@
 
   void Submit(JobSpec spec) {
     fleet_.Know(spec);
-    tasks_ += spec.tasks;
+    tasks_ += spec.task_count;
     services_.push_back(spec);
     Send(spec, 0);
   }
@@ -98,7 +98,7 @@
   uint64_t Up() const {
     uint64_t up = 0;
     for (const JobSpec& spec : services_) {
-      for (uint32_t t = 0; t < spec.tasks; ++t) {
+      for (uint32_t t = 0; t < spec.task_count; ++t) {
         up += fleet_.Runs(spec.id + "/" + std::to_string(t)) ? 1 : 0;
       }
     }
@@ -161,7 +161,7 @@
   spec.team = team;
   spec.service = true;
   spec.priority = Priority::kProduction;
-  spec.tasks = replicas;
+  spec.task_count = replicas;
   spec.cores = 2;
   spec.memory_gb = 4;
   spec.image = "img";
--- a/tests/drain_mix_test.cc
+++ b/tests/drain_mix_test.cc
@@ -75,8 +75,8 @@
     const auto tasks = static_cast<uint32_t>(1 + Index(4));
     JobSpec s = Chance(0.75) ? c_.Service(id, tasks) : c_.Array(id, tasks);
     s.team = kTeams[Index(2)];
-    if (Chance(0.2)) s.one_zone = true;
-    if (Chance(0.2)) s.apart = true;
+    if (Chance(0.2)) s.single_zone = true;
+    if (Chance(0.2)) s.anti_affinity = true;
     c_.run_s = Between(5, 40);
     jobs_.push_back(id);
     c_.Submit(s);
--- a/tests/drain_size_test.cc
+++ b/tests/drain_size_test.cc
@@ -29,7 +29,7 @@
     worker.report.endpoint = name + ":1";
     worker.report.type = "box";
     worker.report.zone = i % 2 == 0 ? "east" : "west";
-    worker.report.session = 1;
+    worker.report.agent_epoch = 1;
     if (i < drained) selection += "(machine \"" + name + "\") ";
   }
   w.Watch(4);
@@ -38,11 +38,11 @@
   for (size_t i = 0; i < jobs; ++i) {
     JobSpec spec = w.Service("job-" + std::to_string(i), 10);
     spec.team = i % 2 == 0 ? "red" : "blue";
-    UserRequest ask;
-    ask.op = UserOp::kSubmit;
-    ask.id = spec.id;
+    JobRequest ask;
+    ask.operation = JobOperation::kSubmit;
+    ask.job_id = spec.id;
     ask.job = spec;
-    w.leader->User(ask, [](const UserResponse&) {});
+    w.leader->User(ask, [](const JobResponse&) {});
     if (i % 50 == 49) w.Watch(0.5);
   }
   w.Watch(10);
--- a/tests/drain_test.cc
+++ b/tests/drain_test.cc
@@ -535,13 +535,13 @@
   w.Machine("m-1", "east");
   JobSpec bound = w.Service("job-1", 2);
   bound.team = "red";
-  bound.one_zone = true;
+  bound.single_zone = true;
   w.StartService(bound);
   const std::string home = w.At("m-1").report.zone;
   w.Machine("m-2", "west");
   JobSpec apart = w.Service("job-2", 2);
   apart.team = "blue";
-  apart.apart = true;
+  apart.anti_affinity = true;
   w.StartService(apart);
   w.Watch(5);
   w.DrainOne();
@@ -571,11 +571,11 @@
   l.report.machine = "m-8";
   l.report.endpoint = "m-8:1";
   l.report.zone = "east";
-  l.report.session = 1;
+  l.report.agent_epoch = 1;
   w.Watch(3);
   JobSpec bound = w.Service("job-1", 2);
   bound.team = "red";
-  bound.types = {"large"};
+  bound.allowed_types = {"large"};
   w.StartService(bound);
   w.Machine("m-2", "east");
   w.Policy(WithDrains("(drain \"type\" (type \"large\"))"));
@@ -605,7 +605,7 @@
   w.Watch(50);
   EXPECT_EQ(m.Count("job-1"), 3U);
   EXPECT_NE(w.Why("one").find("run to their end"), std::string::npos);
-  m.End("job-1/0", ExitWhy::kDone);
+  m.End("job-1/0", ExitReason::kDone);
   w.Watch(20);
   EXPECT_TRUE(w.Returned("m-1"));
   const std::vector<std::string> now_on = MachinesOf(w, "job-1");
@@ -646,20 +646,20 @@
   w.Lead();
   FakeWorker& m = w.Machine("m-1", "east");
   JobSpec spec = w.Array("job-1", 1);
-  spec.checkpoint_s = 10;
-  spec.save_s = 4;
+  spec.checkpoint_interval_s = 10;
+  spec.checkpoint_grace_s = 4;
   m.gangs.insert("job-1");  // saves when it is stopped
   m.save_s = 4;
   EXPECT_EQ(w.Submit(spec).status, 201);
   w.Watch(3);
   ASSERT_EQ(m.Count("job-1"), 1U);
-  for (TaskReport& t : m.report.tasks) t.state = TaskState::kRunning;
+  for (TaskStatus& t : m.report.tasks) t.state = TaskState::kRunning;
   w.Watch(2);
   w.Machine("m-2", "east");
   w.Policy(WithDrains("(drain \"one\" (machine \"m-1\") (deadline-s \"0\"))"));
   w.Watch(2);
   ASSERT_EQ(m.Count("job-1"), 1U);
-  EXPECT_EQ(m.report.tasks[0].state, TaskState::kSaving);
+  EXPECT_EQ(m.report.tasks[0].state, TaskState::kCheckpointing);
 }
 
 TEST(Drain, AGangIsStoppedWholeOrNotAtAll) {
@@ -738,7 +738,7 @@
     w.StartService("job-1", 1, "red", 6);
     w.Machine("m-2", "east");
     w.StartService("job-2", 3);
-    EXPECT_EQ(w.Ask(UserOp::kCancel, "job-1").status, 200);
+    EXPECT_EQ(w.Ask(JobOperation::kCancel, "job-1").status, 200);
     w.Forget("job-1");
     w.Policy(std::string("(budgets (team \"red\" (down \"") + (allowed ? "1" : "0") +
              "\"))) (steps (settle-s \"1\"))");
@@ -788,7 +788,7 @@
   w.Lose("m-1");
   w.Pass(10);
   EXPECT_EQ(w.leader->ledger().DownOf("blue"), 2U);
-  EXPECT_EQ(w.Ask(UserOp::kCancel, "job-1").status, 200);
+  EXPECT_EQ(w.Ask(JobOperation::kCancel, "job-1").status, 200);
   w.Pass(1);
   EXPECT_EQ(w.leader->ledger().DownOf("blue"), 0U);
 }
--- a/tests/drain_world.cc
+++ b/tests/drain_world.cc
@@ -76,12 +76,12 @@
   for (auto& [endpoint, w] : workers.at) {
     w.stuck = true;
     if (broken_.contains(w.report.machine)) continue;
-    for (TaskReport& t : w.report.tasks) {
+    for (TaskStatus& t : w.report.tasks) {
       if (t.state != TaskState::kFetching) continue;
-      if (broken_jobs_.contains(t.task.substr(0, t.task.rfind('/')))) continue;
-      const double since = launched_.try_emplace({t.task, t.attempt}, clock.now).first->second;
+      if (broken_jobs_.contains(t.task_name.substr(0, t.task_name.rfind('/')))) continue;
+      const double since = launched_.try_emplace({t.task_name, t.attempt}, clock.now).first->second;
       if (clock.now - since >= start_s) {
-        t.state = w.InGang(t.task) ? TaskState::kGathering : TaskState::kRunning;
+        t.state = w.InGang(t.task_name) ? TaskState::kWaitingForGang : TaskState::kRunning;
       }
     }
   }
@@ -110,10 +110,10 @@
 
 bool DrainWorld::Runs(const std::string& task) const {
   return std::any_of(workers.at.begin(), workers.at.end(), [&task](const auto& at) {
-    const std::vector<TaskReport>& tasks = at.second.report.tasks;
+    const std::vector<TaskStatus>& tasks = at.second.report.tasks;
     return !at.second.silent &&
-           std::any_of(tasks.begin(), tasks.end(), [&task](const TaskReport& t) {
-             return t.task == task && t.state == TaskState::kRunning;
+           std::any_of(tasks.begin(), tasks.end(), [&task](const TaskStatus& t) {
+             return t.task_name == task && t.state == TaskState::kRunning;
            });
   });
 }
@@ -122,7 +122,8 @@
   size_t down = 0;
   for (const auto& [id, spec] : services_) {
     if (spec.team != team) continue;
-    for (uint32_t t = 0; t < spec.tasks; ++t) down += Runs(id + "/" + std::to_string(t)) ? 0 : 1;
+    for (uint32_t t = 0; t < spec.task_count; ++t)
+      down += Runs(id + "/" + std::to_string(t)) ? 0 : 1;
   }
   return down;
 }
@@ -145,7 +146,7 @@
   if (it == workers.at.end()) return 0;
   return static_cast<size_t>(
       std::count_if(it->second.report.tasks.begin(), it->second.report.tasks.end(),
-                    [](const TaskReport& t) { return t.state != TaskState::kExited; }));
+                    [](const TaskStatus& t) { return t.state != TaskState::kExited; }));
 }
 
 bool DrainWorld::Returned(const std::string& machine) const {
--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -45,8 +45,8 @@
   bool refuse = false;   // 503
   int lose_answers = 0;  // carried out, answer lost
   int hold_commits = 0;  // not carried out now; see Late()
-  std::vector<Txn> late;
-  std::vector<Txn> committed;
+  std::vector<Transaction> late;
+  std::vector<Transaction> committed;
   double write_room = 100;
   size_t value_limit = SIZE_MAX;  // larger values get 400
   size_t ops_limit = SIZE_MAX;    // larger transactions too
@@ -65,19 +65,19 @@
   void Answer(Done done, StateAnswer answer) {
     queue.push_back([done = std::move(done), answer] { done(answer); });
   }
-  StateAnswer Apply(const Txn& txn) {
+  StateAnswer Apply(const Transaction& txn) {
     StateAnswer a;
-    if (txn.writes.size() > ops_limit) {
+    if (txn.mutations.size() > ops_limit) {
       ++too_many_ops;
       a.outcome = StateOutcome::kRejected;
       return a;
     }
     a.outcome = StateOutcome::kConflict;
-    for (const auto& c : txn.conditions) {
+    for (const auto& c : txn.preconditions) {
       auto it = keys.find(c.key);
       if ((it == keys.end() ? 0 : it->second.version) != c.version) return a;
     }
-    for (const auto& w : txn.writes) {
+    for (const auto& w : txn.mutations) {
       if (w.lease != 0 && !leases.contains(w.lease)) return a;
       if (w.value.size() > value_limit) {
         ++too_large;
@@ -86,7 +86,7 @@
       }
     }
     ++revision;
-    for (const auto& w : txn.writes) {
+    for (const auto& w : txn.mutations) {
       if (w.value.empty()) {
         keys.erase(w.key);
       } else {
@@ -100,9 +100,9 @@
   }
   // A transaction that was held back is applied after all.
   void Late() {
-    for (const Txn& t : std::exchange(late, {})) Apply(t);
+    for (const Transaction& t : std::exchange(late, {})) Apply(t);
   }
-  void Commit(const Txn& txn, Done done) override {
+  void Commit(const Transaction& txn, Done done) override {
     StateAnswer a;
     if (refuse) {
       a.outcome = StateOutcome::kRefused;
@@ -180,7 +180,7 @@
   std::vector<std::string> zones;                          // of the machines rented
   std::vector<std::pair<std::string, std::string>> given;  // machines rented, with their zones
   std::vector<std::string> returned;
-  std::vector<ListedMachine> listed;
+  std::vector<CloudInstance> listed;
   bool out = false;
   bool refuse = false;
   int next = 0;
@@ -214,22 +214,22 @@
     queue.push_back([this, done] { done(!out); });
   }
   void List(const std::string&,
-            std::function<void(bool, std::vector<ListedMachine>, bool)> done) override {
+            std::function<void(bool, std::vector<CloudInstance>, bool)> done) override {
     queue.push_back([this, done] { done(!listed.empty(), listed, false); });
   }
 };
 
 // Tasks of the job that have not ended.
-inline size_t CountTasks(const Report& report, const std::string& job) {
+inline size_t CountTasks(const Heartbeat& report, const std::string& job) {
   return static_cast<size_t>(
-      std::count_if(report.tasks.begin(), report.tasks.end(), [&job](const TaskReport& t) {
-        return t.state != TaskState::kExited && t.task.starts_with(job + "/");
+      std::count_if(report.tasks.begin(), report.tasks.end(), [&job](const TaskStatus& t) {
+        return t.state != TaskState::kExited && t.task_name.starts_with(job + "/");
       }));
 }
 
 // Workers that answer commands as PROTOCOL says, unless they are silent.
 struct FakeWorker {
-  Report report;
+  Heartbeat report;
   bool silent = false;   // nothing arrives, nothing is answered
   bool deaf = false;     // reports arrive; answers and commands don't reach it
   bool unsent = false;   // commands sent straight find no connection
@@ -245,44 +245,44 @@
   bool InGang(const std::string& task) const {
     return gangs.contains(task.substr(0, task.rfind('/')));
   }
-  void Stop(TaskReport* task, double grace_s) {
-    const bool saves = InGang(task->task) && grace_s >= save_s;
+  void Stop(TaskStatus* task, double grace_s) {
+    const bool saves = InGang(task->task_name) && grace_s >= save_s;
     if (task->state == TaskState::kRunning && saves) {
-      task->state = TaskState::kSaving;
-    } else if (task->state != TaskState::kSaving || grace_s == 0) {
-      End(task->task, ExitWhy::kStopped);
+      task->state = TaskState::kCheckpointing;
+    } else if (task->state != TaskState::kCheckpointing || grace_s == 0) {
+      End(task->task_name, ExitReason::kStopped);
     }
   }
   void Execute(uint64_t token, const std::vector<Command>& commands) {
-    report.token = std::max(report.token, token);
+    report.fencing_token = std::max(report.fencing_token, token);
     for (const Command& c : commands) {
-      auto it = std::find_if(report.tasks.begin(), report.tasks.end(), [&c](const TaskReport& t) {
-        return t.task == c.task && t.attempt == c.attempt;
+      auto it = std::find_if(report.tasks.begin(), report.tasks.end(), [&c](const TaskStatus& t) {
+        return t.task_name == c.task_name && t.attempt == c.attempt;
       });
-      if (c.op == CommandOp::kStart && it == report.tasks.end()) {
-        const TaskState state = stuck            ? TaskState::kFetching
-                                : InGang(c.task) ? TaskState::kGathering
-                                                 : TaskState::kRunning;
-        report.tasks.push_back({c.task, c.attempt, state, ExitWhy::kNone, false});
-        started.push_back(c.task);
-      } else if (c.op == CommandOp::kStop && it != report.tasks.end()) {
-        Stop(&*it, c.grace_s);
-      } else if (c.op == CommandOp::kForget && it != report.tasks.end()) {
+      if (c.operation == CommandOp::kStart && it == report.tasks.end()) {
+        const TaskState state = stuck                 ? TaskState::kFetching
+                                : InGang(c.task_name) ? TaskState::kWaitingForGang
+                                                      : TaskState::kRunning;
+        report.tasks.push_back({c.task_name, c.attempt, state, ExitReason::kNone, false});
+        started.push_back(c.task_name);
+      } else if (c.operation == CommandOp::kStop && it != report.tasks.end()) {
+        Stop(&*it, c.grace_period_s);
+      } else if (c.operation == CommandOp::kAcknowledgeExit && it != report.tasks.end()) {
         report.tasks.erase(it);
       }
     }
   }
-  void End(const std::string& task, ExitWhy why) {
-    for (TaskReport& t : report.tasks) {
-      if (t.task == task && t.state != TaskState::kExited) {
+  void End(const std::string& task, ExitReason why) {
+    for (TaskStatus& t : report.tasks) {
+      if (t.task_name == task && t.state != TaskState::kExited) {
         t.state = TaskState::kExited;
-        t.why = why;
+        t.exit_reason = why;
       }
     }
   }
   bool Has(const std::string& task) const {
-    return std::any_of(report.tasks.begin(), report.tasks.end(), [&task](const TaskReport& t) {
-      return t.task == task && t.state != TaskState::kExited;
+    return std::any_of(report.tasks.begin(), report.tasks.end(), [&task](const TaskStatus& t) {
+      return t.task_name == task && t.state != TaskState::kExited;
     });
   }
   // Tasks of the job that are on the machine.
@@ -290,7 +290,8 @@
   // Commands that were held back arrive.
   void Late() {
     for (auto& [token, rest] : std::exchange(held, {})) {
-      if (token >= report.token && rest.first == report.session) Execute(token, rest.second);
+      if (token >= report.fencing_token && rest.first == report.agent_epoch)
+        Execute(token, rest.second);
     }
   }
 };
@@ -320,9 +321,9 @@
       --w.hold;
       w.held.push_back({token, {session, commands}});
     } else if (!w.silent && !w.deaf) {
-      const bool ok = token >= w.report.token && session == w.report.session;
+      const bool ok = token >= w.report.fencing_token && session == w.report.agent_epoch;
       if (ok) w.Execute(token, commands);
-      ++w.report.seq;
+      ++w.report.sequence;
       a.status = ok ? 200 : 409;
       a.has_report = true;
       a.report = w.report;
@@ -339,7 +340,7 @@
     WorkerAnswer a;
     a.sent = true;
     if (!w.silent && !w.deaf) {
-      ++w.report.seq;
+      ++w.report.sequence;
       a.status = 200;
       a.has_report = true;
       a.report = w.report;
@@ -360,12 +361,12 @@
   s.id = id;
   s.job_class = "sums";
   s.team = "blue";
-  s.tasks = tasks;
+  s.task_count = tasks;
   s.cores = cores;
   s.memory_gb = 4;
   s.image = "img";
   s.image_gb = 1;
-  s.estimate_s = 30;
+  s.estimated_runtime_s = 30;
   return s;
 }
 
@@ -374,7 +375,7 @@
   s.job_class = "live";
   s.service = true;
   s.priority = Priority::kProduction;
-  s.estimate_s = 0;
+  s.estimated_runtime_s = 0;
   return s;
 }
 
@@ -458,10 +459,10 @@
   }
   void ReportNow(FakeWorker* w) {
     if (w->silent || w->report.machine.empty()) return;
-    ++w->report.seq;
-    const ReportResponse reply = leader->OnReport(w->report);
-    if (reply.status == 200 && reply.token >= w->report.token && !w->deaf) {
-      w->Execute(reply.token, reply.commands);
+    ++w->report.sequence;
+    const HeartbeatResponse reply = leader->OnReport(w->report);
+    if (reply.status == 200 && reply.fencing_token >= w->report.fencing_token && !w->deaf) {
+      w->Execute(reply.fencing_token, reply.commands);
     }
   }
   FakeWorker& Machine(const std::string& name, const std::string& zone, bool spot = false) {
@@ -471,7 +472,7 @@
     w.report.type = "box";
     w.report.zone = zone;
     w.report.spot = spot;
-    w.report.session = 1;
+    w.report.agent_epoch = 1;
     ReportNow(&w);
     Settle();
     ReportNow(&w);
@@ -484,20 +485,20 @@
   JobSpec Service(const std::string& id, uint32_t tasks, double cores = 2) {
     return ServiceSpec(id, tasks, cores);
   }
-  UserResponse Ask(UserOp op, const std::string& id, const JobSpec* spec = nullptr,
-                   const std::string& invalid = "") {
-    UserRequest ask;
-    ask.op = op;
-    ask.id = id;
-    ask.invalid = invalid;
+  JobResponse Ask(JobOperation op, const std::string& id, const JobSpec* spec = nullptr,
+                  const std::string& invalid = "") {
+    JobRequest ask;
+    ask.operation = op;
+    ask.job_id = id;
+    ask.validation_error = invalid;
     if (spec != nullptr) ask.job = *spec;
-    auto out = std::make_shared<UserResponse>();
+    auto out = std::make_shared<JobResponse>();
     out->status = 0;
-    leader->User(ask, [out](const UserResponse& r) { *out = r; });
+    leader->User(ask, [out](const JobResponse& r) { *out = r; });
     Settle();
     return *out;
   }
-  UserResponse Submit(const JobSpec& spec) { return Ask(UserOp::kSubmit, spec.id, &spec); }
+  JobResponse Submit(const JobSpec& spec) { return Ask(JobOperation::kSubmit, spec.id, &spec); }
 };
 
 }  // namespace deckhall
--- a/tests/fleet_test.cc
+++ b/tests/fleet_test.cc
@@ -14,7 +14,7 @@
   w.Submit(w.Array("job-1", 1));
   w.Pass(3);
   ASSERT_EQ(a.started.size(), 1U);  // launched again
-  a.End("job-1/0", ExitWhy::kDone);
+  a.End("job-1/0", ExitReason::kDone);
   w.Pass(3);
   ASSERT_TRUE(a.report.tasks.empty());  // cleared
   a.Late();
@@ -29,7 +29,7 @@
   w.Submit(w.Array("job-1", 1));
   w.clock.now += 0.1;
   w.Settle();
-  EXPECT_EQ(w.Ask(UserOp::kCancel, "job-1").state, JobState::kCancelled);
+  EXPECT_EQ(w.Ask(JobOperation::kCancel, "job-1").state, JobState::kCancelled);
   w.Pass(3);
   a.Late();
   EXPECT_TRUE(a.started.empty());
@@ -43,11 +43,11 @@
   w.Submit(w.Array("job-1", 3));
   w.Pass(1);
   ASSERT_TRUE(a.Has("job-1/2"));
-  w.Ask(UserOp::kCancel, "job-1");
+  w.Ask(JobOperation::kCancel, "job-1");
   w.Pass(1);
   EXPECT_FALSE(a.Has("job-1/0"));
   EXPECT_FALSE(a.Has("job-1/2"));
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-1").state, JobState::kCancelled);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").state, JobState::kCancelled);
 }
 
 // Found on the fleet's day of losses (ran_cancelled): between zones that could not reach
@@ -61,7 +61,7 @@
   w.Pass(1);
   ASSERT_TRUE(a.Has("job-1/0"));
   a.mute = true;
-  w.Ask(UserOp::kCancel, "job-1");
+  w.Ask(JobOperation::kCancel, "job-1");
   w.Pass(1);
   EXPECT_FALSE(a.Has("job-1/0"));
 }
@@ -77,7 +77,7 @@
   a.silent = true;
   w.Pass(w.tuning.quick_lost_s + 3);
   a.silent = false;
-  w.Ask(UserOp::kCancel, "job-1");
+  w.Ask(JobOperation::kCancel, "job-1");
   w.Pass(1);
   ASSERT_TRUE(w.cloud.returned.empty());
   EXPECT_FALSE(a.Has("job-1/0"));
@@ -93,7 +93,7 @@
     w.Submit(w.Array("job-1", 1));
     w.Pass(1);
     (unsent ? a.unsent : a.deaf) = true;
-    w.Ask(UserOp::kCancel, "job-1");
+    w.Ask(JobOperation::kCancel, "job-1");
     ASSERT_TRUE(a.Has("job-1/0"));
     a.deaf = false;
     w.ReportNow(&a);
@@ -108,7 +108,7 @@
   w.Submit(w.Array("job-1", 2));
   w.Pass(1);
   w.state.refuse = true;
-  a.End("job-1/0", ExitWhy::kDone);
+  a.End("job-1/0", ExitReason::kDone);
   w.Pass(3);
   EXPECT_EQ(a.report.tasks.size(), 2U);
   w.state.refuse = false;
@@ -116,7 +116,7 @@
   EXPECT_EQ(a.report.tasks.size(), 1U);
   w.Lead();
   w.Pass(3);
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-1").done, 1U);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").tasks_done, 1U);
   EXPECT_EQ(a.started.size(), 2U);
 }
 
@@ -127,7 +127,7 @@
   w.Submit(w.Service("job-1", 1));
   w.Pass(1);
   ASSERT_EQ(a.started.size(), 1U);
-  a.report.session = 2;
+  a.report.agent_epoch = 2;
   a.report.tasks.clear();
   w.Pass(2);
   EXPECT_EQ(a.started.size(), 2U);
@@ -137,12 +137,12 @@
   World w;
   w.Lead();
   auto& a = w.Machine("m-1", "east");
-  const Report early = a.report;
+  const Heartbeat early = a.report;
   w.Submit(w.Service("job-1", 1));
   w.Pass(1);
   w.leader->OnReport(early);
   w.Settle();
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-1").running, 1U);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").tasks_running, 1U);
   EXPECT_EQ(a.started.size(), 1U);
 }
 
@@ -186,10 +186,10 @@
   World w;
   w.Lead();
   auto& a = w.Machine("m-1", "east", true);
-  a.report.notice_s = 20;
+  a.report.preemption_notice_s = 20;
   w.Pass(1);
   JobSpec spec = w.Array("job-1", 1);
-  spec.spot = true;
+  spec.spot_tolerant = true;
   w.Submit(spec);
   w.Pass(2);
   EXPECT_TRUE(a.started.empty());
@@ -203,8 +203,8 @@
   w.Submit(w.Array("job-1", 1, 1));
   for (int i = 0; i < 12; ++i) {
     w.Pass(2);
-    a.End("job-1/0", ExitWhy::kError);
-    b.End("job-1/0", ExitWhy::kError);
+    a.End("job-1/0", ExitReason::kError);
+    b.End("job-1/0", ExitReason::kError);
   }
   w.Submit(w.Array("job-2", 2, 1));
   w.Pass(2);
--- a/tests/gang_test.cc
+++ b/tests/gang_test.cc
@@ -63,9 +63,9 @@
   // The first command there arrives at a machine without room.
   a.report.tasks.clear();
   w.Pass(0.5);
-  ASSERT_EQ(w.In("job-1", TaskState::kGathering), 6U);
+  ASSERT_EQ(w.In("job-1", TaskState::kWaitingForGang), 6U);
   const std::set<uint64_t> attempt = w.Attempts("job-1");
-  a.End(a.report.tasks.back().task, ExitWhy::kNoRoom);
+  a.End(a.report.tasks.back().task_name, ExitReason::kNoRoom);
   w.Box("m-3", "east");
   w.Run(4);
   EXPECT_EQ(w.In("job-1", TaskState::kRunning), 6U);
@@ -102,13 +102,13 @@
   w.Box("m-2", "east");
   w.Submit(w.Gang("job-1", 8));  // takes all of both
   w.Pass(0.5);
-  ASSERT_EQ(w.In("job-1", TaskState::kGathering), 8U);
+  ASSERT_EQ(w.In("job-1", TaskState::kWaitingForGang), 8U);
   w.cloud.out = false;
   a.silent = true;
   a.report.tasks.clear();
   w.Run(12);
   // The places are free long before the gathering time is over.
-  EXPECT_EQ(w.In("job-1", TaskState::kGathering), 0U);
+  EXPECT_EQ(w.In("job-1", TaskState::kWaitingForGang), 0U);
   EXPECT_EQ(w.Attempts("job-1").size(), 0U);
 }
 
@@ -161,13 +161,13 @@
   w.Complete("job-1", {"m-1"});
   b.report.tasks.clear();  // lost with what it knew
   w.Run(3);
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-1").state, JobState::kDone);
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-1").done, 6U);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").state, JobState::kDone);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").tasks_done, 6U);
   w.Run(10);
   w.Lead();
   w.Run(10);
   EXPECT_EQ(w.Starts("job-1"), 6U);
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-1").state, JobState::kDone);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").state, JobState::kDone);
   EXPECT_TRUE(a.report.tasks.empty());  // cleared
 }
 
@@ -183,7 +183,7 @@
   w.Lead();
   w.Box("m-1", "east");
   w.Run(3);
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-1").state, JobState::kDone);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").state, JobState::kDone);
   EXPECT_EQ(w.Starts("job-1"), 0U);
 }
 
@@ -195,8 +195,8 @@
   for (int round = 0; round < 4; ++round) {
     w.Run(2);
     ASSERT_EQ(w.In("job-1", TaskState::kRunning), 3U) << round;
-    for (TaskReport& task : a.report.tasks) {
-      if (task.state != TaskState::kExited) a.End(task.task, ExitWhy::kPeers);
+    for (TaskStatus& task : a.report.tasks) {
+      if (task.state != TaskState::kExited) a.End(task.task_name, ExitReason::kGangMemberLost);
     }
   }
   EXPECT_TRUE(w.cloud.returned.empty());
@@ -211,7 +211,7 @@
     w.Run(2);
     const std::string task = std::string(id) + "/0";
     ASSERT_TRUE(a.Has(task));
-    a.End(task, ExitWhy::kError);
+    a.End(task, ExitReason::kError);
     w.Pass(0.5);
   }
   const size_t before = a.started.size();
@@ -225,17 +225,17 @@
   auto& a = w.Box("m-1", "east", true);
   auto& b = w.Box("m-2", "east", true);
   JobSpec gang = w.Gang("job-1", 6);
-  gang.spot = true;
-  gang.estimate_s = 100;
+  gang.spot_tolerant = true;
+  gang.estimated_runtime_s = 100;
   w.Submit(gang);
   w.Run(2);
   ASSERT_EQ(w.In("job-1", TaskState::kRunning), 6U);
-  a.report.notice_s = 12;
+  a.report.preemption_notice_s = 12;
   w.Run(1.5);
-  EXPECT_EQ(w.In("job-1", TaskState::kSaving), 6U);
+  EXPECT_EQ(w.In("job-1", TaskState::kCheckpointing), 6U);
   w.Run(4);
   size_t saved = 0;
-  for (const TaskReport& task : b.report.tasks) saved += task.saved ? 1 : 0;
+  for (const TaskStatus& task : b.report.tasks) saved += task.checkpointed ? 1 : 0;
   EXPECT_EQ(w.In("job-1", TaskState::kRunning), 0U);
   EXPECT_EQ(w.Attempts("job-1").size(), 0U);
 }
@@ -246,13 +246,13 @@
   auto& a = w.Box("m-1", "east", true);
   w.Box("m-2", "east", true);
   JobSpec gang = w.Gang("job-1", 6);
-  gang.spot = true;
-  gang.estimate_s = 100;
+  gang.spot_tolerant = true;
+  gang.estimated_runtime_s = 100;
   w.Submit(gang);
   w.Run(2);
-  a.report.notice_s = 4;
+  a.report.preemption_notice_s = 4;
   w.Run(1.5);
-  EXPECT_EQ(w.In("job-1", TaskState::kSaving), 0U);
+  EXPECT_EQ(w.In("job-1", TaskState::kCheckpointing), 0U);
   EXPECT_EQ(w.Attempts("job-1").size(), 0U);
 }
 
@@ -262,10 +262,10 @@
   FakeWorker& a = w.workers.at["m-1:1"];
   w.Run(2);
   const std::set<uint64_t> first = w.Attempts("job-1");
-  for (TaskReport& task : a.report.tasks) task.state = TaskState::kSaving;
+  for (TaskStatus& task : a.report.tasks) task.state = TaskState::kCheckpointing;
   w.Lead();
   w.Run(2);
-  EXPECT_EQ(w.In("job-1", TaskState::kSaving), 6U);
+  EXPECT_EQ(w.In("job-1", TaskState::kCheckpointing), 6U);
   w.Run(4);
   EXPECT_EQ(w.In("job-1", TaskState::kRunning), 6U);
   EXPECT_NE(w.Attempts("job-1"), first);
@@ -288,8 +288,8 @@
   FakeWorker& a = w.workers.at["m-1:1"];
   w.Pass(0.5);
   const std::set<uint64_t> first = w.Attempts("job-1");
-  const std::string lost = a.report.tasks.back().task;
-  a.End(lost, ExitWhy::kNoRoom);
+  const std::string lost = a.report.tasks.back().task_name;
+  a.End(lost, ExitReason::kNoRoom);
   w.Box("m-3", "east");
   w.Lead();
   w.Run(6);
@@ -303,7 +303,7 @@
   auto& a = w.Box("m-1", "east");
   w.Submit(w.Gang("job-1", 2));
   w.Pass(0.5);
-  ASSERT_EQ(w.In("job-1", TaskState::kGathering), 2U);
+  ASSERT_EQ(w.In("job-1", TaskState::kWaitingForGang), 2U);
   --a.report.tasks.back().attempt;  // it never comes together with the other one
   w.Lead();
   w.Run(6);
@@ -322,7 +322,7 @@
     w.Box("m-2", "east");
     JobSpec idle = w.Array("job-1", 8);
     idle.priority = Priority::kIdle;
-    idle.estimate_s = 300;
+    idle.estimated_runtime_s = 300;
     w.Submit(idle);
     w.Run(2);
     ASSERT_EQ(w.In("job-1", TaskState::kRunning), 8U);
@@ -350,7 +350,7 @@
     w.Run(2);
     JobSpec idle = w.Array("job-2", 4);
     idle.priority = lower ? Priority::kIdle : Priority::kUrgent;
-    idle.estimate_s = 300;
+    idle.estimated_runtime_s = 300;
     w.Submit(idle);
     w.Run(1);
     ASSERT_EQ(a.Count("job-2"), 4U);
@@ -375,9 +375,9 @@
   w.Submit(w.Gang("job-2", 4));
   // A task of the array ends every second; the gang is ranked before what is left of it.
   for (int i = 0; i < 30 && w.In("job-2", TaskState::kRunning) == 0; ++i) {
-    for (TaskReport& task : a.report.tasks) {
+    for (TaskStatus& task : a.report.tasks) {
       if (task.state != TaskState::kRunning) continue;
-      a.End(task.task, ExitWhy::kDone);
+      a.End(task.task_name, ExitReason::kDone);
       break;
     }
     w.Run(1);
@@ -392,7 +392,8 @@
   w.Submit(w.Gang("job-2", 6));
   w.Run(5);
   EXPECT_EQ(w.In("job-1", TaskState::kRunning) + w.In("job-2", TaskState::kRunning), 6U);
-  EXPECT_EQ(w.In("job-1", TaskState::kGathering) + w.In("job-2", TaskState::kGathering), 0U);
+  EXPECT_EQ(w.In("job-1", TaskState::kWaitingForGang) + w.In("job-2", TaskState::kWaitingForGang),
+            0U);
   w.Complete("job-1");
   w.Complete("job-2");
   w.Run(5);
@@ -414,7 +415,7 @@
     ASSERT_EQ(w.In("job-1", TaskState::kRunning), tasks);
     w.Complete("job-1");
     w.Run(3);
-    EXPECT_EQ(w.Ask(UserOp::kGet, "job-1").state, JobState::kDone);
+    EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").state, JobState::kDone);
     steps[machines == 500 ? 1 : 0] = w.leader->steps() - before;
   }
   // Four times the machines and tasks, four times the work.
@@ -430,7 +431,7 @@
     w.Submit(w.Gang("job-1", 6));
     w.Pass(0.5);
     w.Run(after);
-    ASSERT_EQ(w.Ask(UserOp::kCancel, "job-1").state, JobState::kCancelled);
+    ASSERT_EQ(w.Ask(JobOperation::kCancel, "job-1").state, JobState::kCancelled);
     w.Run(2);
     EXPECT_EQ(w.Attempts("job-1").size(), 0U);
     EXPECT_EQ(w.Starts("job-1"), 6U);
--- a/tests/gang_world.cc
+++ b/tests/gang_world.cc
@@ -12,9 +12,9 @@
 JobSpec GangWorld::Gang(const std::string& id, uint32_t tasks, double cores) {
   JobSpec spec = Array(id, tasks, cores);
   spec.gang = true;
-  spec.one_zone = true;
-  spec.checkpoint_s = 20;
-  spec.save_s = 3;
+  spec.single_zone = true;
+  spec.checkpoint_interval_s = 20;
+  spec.checkpoint_grace_s = 3;
   specs_[id] = spec;
   for (auto& [endpoint, worker] : workers.at) worker.gangs.insert(id);
   return spec;
@@ -34,41 +34,43 @@
   Submit(Gang("job-1", tasks));
 }
 
-void GangWorld::Exit(TaskReport* task, ExitWhy why, bool saved) {
+void GangWorld::Exit(TaskStatus* task, ExitReason why, bool saved) {
   task->state = TaskState::kExited;
-  task->why = why;
-  task->saved = saved;
+  task->exit_reason = why;
+  task->checkpointed = saved;
 }
 
 void GangWorld::StepAttempt(const std::string& job, uint64_t number) {
   const JobSpec& spec = specs_.at(job);
   Attempt& attempt = attempts_[{job, number}];
-  std::vector<TaskReport*> there;
+  std::vector<TaskStatus*> there;
   for (auto& [endpoint, worker] : workers.at) {
     if (worker.silent) continue;  // it hangs: its tasks make no progress, and are missed
-    for (TaskReport& task : worker.report.tasks) {
-      const bool ours = JobOf(task.task) == job && task.attempt == number;
+    for (TaskStatus& task : worker.report.tasks) {
+      const bool ours = JobOf(task.task_name) == job && task.attempt == number;
       if (ours && task.state != TaskState::kExited) there.push_back(&task);
     }
   }
-  const bool all = there.size() == spec.tasks;
-  const bool gathered = std::all_of(there.begin(), there.end(), [](const TaskReport* t) {
-    return t->state == TaskState::kGathering;
+  const bool all = there.size() == spec.task_count;
+  const bool gathered = std::all_of(there.begin(), there.end(), [](const TaskStatus* t) {
+    return t->state == TaskState::kWaitingForGang;
   });
   if (!attempt.started && all && gathered) {
     attempt.started = true;
-    for (TaskReport* task : there) task->state = TaskState::kRunning;
+    for (TaskStatus* task : there) task->state = TaskState::kRunning;
   }
   if (attempt.started && !all && attempt.lost_at < 0) attempt.lost_at = clock.now;
-  for (TaskReport* task : there) {
-    const double since = since_.try_emplace({task->task, number}, clock.now).first->second;
-    if (task->state == TaskState::kSaving && attempt.first_stop < 0) attempt.first_stop = clock.now;
-    if (task->state == TaskState::kGathering && clock.now - since > settings.gang_wait_s) {
-      Exit(task, ExitWhy::kIncomplete);
-    } else if (task->state == TaskState::kSaving && clock.now - attempt.first_stop >= spec.save_s) {
-      Exit(task, ExitWhy::kStopped, true);
+  for (TaskStatus* task : there) {
+    const double since = since_.try_emplace({task->task_name, number}, clock.now).first->second;
+    if (task->state == TaskState::kCheckpointing && attempt.first_stop < 0)
+      attempt.first_stop = clock.now;
+    if (task->state == TaskState::kWaitingForGang && clock.now - since > settings.gang_wait_s) {
+      Exit(task, ExitReason::kGangIncomplete);
+    } else if (task->state == TaskState::kCheckpointing &&
+               clock.now - attempt.first_stop >= spec.checkpoint_grace_s) {
+      Exit(task, ExitReason::kStopped, true);
     } else if (attempt.lost_at >= 0 && clock.now - attempt.lost_at >= settings.gang_peer_s) {
-      Exit(task, ExitWhy::kPeers);
+      Exit(task, ExitReason::kGangMemberLost);
     }
   }
 }
@@ -77,10 +79,10 @@
   std::map<std::string, std::set<std::string>> on;
   std::map<std::string, std::set<std::string>> zones;
   for (const auto& [endpoint, worker] : workers.at) {
-    for (const TaskReport& task : worker.report.tasks) {
+    for (const TaskStatus& task : worker.report.tasks) {
       if (task.state == TaskState::kExited) continue;
-      on[task.task].insert(endpoint);
-      zones[JobOf(task.task)].insert(worker.report.zone);
+      on[task.task_name].insert(endpoint);
+      zones[JobOf(task.task_name)].insert(worker.report.zone);
     }
   }
   for (const auto& [task, machines] : on) ran_twice = ran_twice || machines.size() > 1;
@@ -90,8 +92,9 @@
 void GangWorld::Step() {
   std::set<std::pair<std::string, uint64_t>> present;
   for (const auto& [endpoint, worker] : workers.at) {
-    for (const TaskReport& task : worker.report.tasks) {
-      if (specs_.contains(JobOf(task.task))) present.insert({JobOf(task.task), task.attempt});
+    for (const TaskStatus& task : worker.report.tasks) {
+      if (specs_.contains(JobOf(task.task_name)))
+        present.insert({JobOf(task.task_name), task.attempt});
     }
   }
   for (const auto& [job, number] : present) StepAttempt(job, number);
@@ -110,8 +113,8 @@
 size_t GangWorld::In(const std::string& job, TaskState wanted) const {
   size_t count = 0;
   for (const auto& [endpoint, worker] : workers.at) {
-    for (const TaskReport& task : worker.report.tasks) {
-      if (JobOf(task.task) == job && task.state == wanted) ++count;
+    for (const TaskStatus& task : worker.report.tasks) {
+      if (JobOf(task.task_name) == job && task.state == wanted) ++count;
     }
   }
   return count;
@@ -120,9 +123,9 @@
 std::set<uint64_t> GangWorld::Attempts(const std::string& job) const {
   std::set<uint64_t> numbers;
   for (const auto& [endpoint, worker] : workers.at) {
-    for (const TaskReport& task : worker.report.tasks) {
+    for (const TaskStatus& task : worker.report.tasks) {
       const bool there = task.state != TaskState::kExited;
-      if (there && JobOf(task.task) == job) numbers.insert(task.attempt);
+      if (there && JobOf(task.task_name) == job) numbers.insert(task.attempt);
     }
   }
   return numbers;
@@ -141,8 +144,9 @@
 void GangWorld::Complete(const std::string& job, const std::set<std::string>& only) {
   for (auto& [endpoint, worker] : workers.at) {
     if (!only.empty() && !only.contains(worker.report.machine)) continue;
-    for (TaskReport& task : worker.report.tasks) {
-      if (JobOf(task.task) == job && task.state == TaskState::kRunning) Exit(&task, ExitWhy::kDone);
+    for (TaskStatus& task : worker.report.tasks) {
+      if (JobOf(task.task_name) == job && task.state == TaskState::kRunning)
+        Exit(&task, ExitReason::kDone);
     }
   }
 }
--- a/tests/gang_world.h
+++ b/tests/gang_world.h
@@ -45,7 +45,7 @@
   };
   void Step();
   void StepAttempt(const std::string& job, uint64_t number);
-  void Exit(TaskReport* task, ExitWhy why, bool saved = false);
+  void Exit(TaskStatus* task, ExitReason why, bool saved = false);
   void Check();
 
   std::map<std::string, JobSpec> specs_;
--- a/tests/golden_rows_test.cc
+++ b/tests/golden_rows_test.cc
@@ -137,7 +137,7 @@
 JobSpec LargeArray() {
   JobSpec spec = ArraySpec("job-11", 5000, 1);
   spec.team = "red";
-  spec.types = std::vector<std::string>{"big"};
+  spec.allowed_types = std::vector<std::string>{"big"};
   spec.deadline_s = 86400;
   return spec;
 }
@@ -146,7 +146,7 @@
   JobSpec spec = ServiceSpec("job-12", 3, 1.5);
   spec.zone = "west";
   spec.image = "registry/live:\"2\"";
-  spec.apart = true;
+  spec.anti_affinity = true;
   return spec;
 }
 
@@ -156,12 +156,12 @@
   spec.gang = true;
   spec.priority = Priority::kUrgent;
   spec.gpus = 1;
-  spec.types = std::vector<std::string>{"big", "none"};
+  spec.allowed_types = std::vector<std::string>{"big", "none"};
   spec.zone = "west";
-  spec.one_zone = true;
-  spec.estimate_s = 1234.567;  // submitted with one more place; rows keep three
-  spec.checkpoint_s = 60;
-  spec.save_s = 5.25;
+  spec.single_zone = true;
+  spec.estimated_runtime_s = 1234.567;  // submitted with one more place; rows keep three
+  spec.checkpoint_interval_s = 60;
+  spec.checkpoint_grace_s = 5.25;
   spec.deadline_s = 3600.5;
   return spec;
 }
@@ -172,18 +172,18 @@
   spec.team = "red";
   spec.priority = Priority::kIdle;
   spec.memory_gb = 0.5;
-  spec.types = std::vector<std::string>{"big"};
-  spec.one_zone = true;
-  spec.apart = true;
-  spec.spot = true;
-  spec.save_s = 1;
+  spec.allowed_types = std::vector<std::string>{"big"};
+  spec.single_zone = true;
+  spec.anti_affinity = true;
+  spec.spot_tolerant = true;
+  spec.checkpoint_grace_s = 1;
   return spec;
 }
 
 JobSpec ProductionArray() {
   JobSpec spec = ArraySpec("job-15", 1, 2);
   spec.priority = Priority::kProduction;
-  spec.types = std::vector<std::string>{"box"};
+  spec.allowed_types = std::vector<std::string>{"box"};
   return spec;
 }
 
@@ -226,10 +226,10 @@
   for (const char* id : {"job-3", "job-12", "job-13", "job-14", "job-15", "job-17"}) {
     EXPECT_TRUE(FinishedTasks(w.Known(id)).empty()) << id;
   }
-  const UserResponse response = w.Ask(UserOp::kGet, "job-11");
+  const JobResponse response = w.Ask(JobOperation::kGet, "job-11");
   EXPECT_EQ(response.status, 200);
   EXPECT_EQ(response.state, JobState::kPending);
-  EXPECT_EQ(response.done, 6U);
+  EXPECT_EQ(response.tasks_done, 6U);
 }
 
 TEST(GoldenRows, ASuccessorKnowsTimesAndWorkLeft) {
@@ -249,10 +249,10 @@
   EXPECT_EQ(w.Known("job-17").life, JobLife::kCancelled);
   ExpectSameJob(w.Known("job-16").spec, ArraySpec("job-16", 2, 0.5));
   ExpectSameJob(w.Known("job-17").spec, ServiceSpec("job-17", 2, 0.5));
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-1").state, JobState::kDone);
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-2").state, JobState::kCancelled);
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-16").state, JobState::kDone);
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-17").state, JobState::kCancelled);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").state, JobState::kDone);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-2").state, JobState::kCancelled);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-16").state, JobState::kDone);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-17").state, JobState::kCancelled);
 }
 
 struct ExpectedMachine {
