--- a/tests/golden_wire_test.cc
+++ b/tests/golden_wire_test.cc
@@ -23,20 +23,20 @@
   job.job_class = "sums";
   job.team = "blue";
   job.priority = Priority::kUrgent;
-  job.tasks = 4100;
+  job.task_count = 4100;
   job.cores = 2.5;
   job.gpus = 1;
   job.memory_gb = 16.25;
   job.image = "registry/sums:1";
   job.image_gb = 3.75;
-  job.types = std::vector<std::string>{"box", "big"};
+  job.allowed_types = std::vector<std::string>{"box", "big"};
   job.zone = "east";
-  job.one_zone = true;
-  job.apart = true;
-  job.spot = true;
-  job.estimate_s = 120.5;
-  job.checkpoint_s = 60;
-  job.save_s = 5.25;
+  job.single_zone = true;
+  job.anti_affinity = true;
+  job.spot_tolerant = true;
+  job.estimated_runtime_s = 120.5;
+  job.checkpoint_interval_s = 60;
+  job.checkpoint_grace_s = 5.25;
   job.deadline_s = 86400;
   return job;
 }
@@ -53,7 +53,7 @@
   job.id = "job-1";
   job.job_class = "sums";
   job.team = "blue";
-  job.tasks = 1;
+  job.task_count = 1;
   job.image = "img";
   return job;
 }
@@ -70,34 +70,34 @@
 }
 
 // A task in each state, and one for each reason to end.
-std::vector<TaskReport> EveryTask() {
+std::vector<TaskStatus> EveryTask() {
   return {
-      {"job-000412/0", 1, TaskState::kFetching, ExitWhy::kNone, false},
-      {"job-000412/1", kLargeNumber, TaskState::kRunning, ExitWhy::kNone, false},
-      {"job-000412/2", 3, TaskState::kSaving, ExitWhy::kNone, false},
-      {"job-000412/3", 4, TaskState::kGathering, ExitWhy::kNone, false},
-      {"job-000412/4", 5, TaskState::kExited, ExitWhy::kDone, false},
-      {"job-000412/5", 6, TaskState::kExited, ExitWhy::kStopped, true},
-      {"job-000412/6", 7, TaskState::kExited, ExitWhy::kError, false},
-      {"job-000412/7", 8, TaskState::kExited, ExitWhy::kNoRoom, false},
-      {"job-000412/8", 9, TaskState::kExited, ExitWhy::kInUse, false},
-      {"job-000412/9", 10, TaskState::kExited, ExitWhy::kUnknown, false},
-      {"job-000412/10", 11, TaskState::kExited, ExitWhy::kPeers, false},
-      {"job-000412/11", 12, TaskState::kExited, ExitWhy::kIncomplete, false},
+      {"job-000412/0", 1, TaskState::kFetching, ExitReason::kNone, false},
+      {"job-000412/1", kLargeNumber, TaskState::kRunning, ExitReason::kNone, false},
+      {"job-000412/2", 3, TaskState::kCheckpointing, ExitReason::kNone, false},
+      {"job-000412/3", 4, TaskState::kWaitingForGang, ExitReason::kNone, false},
+      {"job-000412/4", 5, TaskState::kExited, ExitReason::kDone, false},
+      {"job-000412/5", 6, TaskState::kExited, ExitReason::kStopped, true},
+      {"job-000412/6", 7, TaskState::kExited, ExitReason::kError, false},
+      {"job-000412/7", 8, TaskState::kExited, ExitReason::kNoRoom, false},
+      {"job-000412/8", 9, TaskState::kExited, ExitReason::kInUse, false},
+      {"job-000412/9", 10, TaskState::kExited, ExitReason::kUnknown, false},
+      {"job-000412/10", 11, TaskState::kExited, ExitReason::kGangMemberLost, false},
+      {"job-000412/11", 12, TaskState::kExited, ExitReason::kGangIncomplete, false},
   };
 }
 
-Report FullReport() {
-  Report report;
+Heartbeat FullReport() {
+  Heartbeat report;
   report.machine = "m-17";
   report.endpoint = "10.0.0.17:7000";
   report.type = "box";
   report.zone = "east";
   report.spot = true;
-  report.session = 3;
-  report.seq = kLargeNumber;
-  report.token = 1690000000000;
-  report.notice_s = 28.5;
+  report.agent_epoch = 3;
+  report.sequence = kLargeNumber;
+  report.fencing_token = 1690000000000;
+  report.preemption_notice_s = 28.5;
   report.tasks = EveryTask();
   return report;
 }
@@ -124,27 +124,27 @@
     R"({"cubierta":"m-1","endpoint":"","casco":"","muelle":"","prestados":false,"guardia":0,)"
     R"("correlativo":0,"mando":0,"faenas":[]})";
 
-void ExpectSameTasks(const std::vector<TaskReport>& read, const std::vector<TaskReport>& expected) {
+void ExpectSameTasks(const std::vector<TaskStatus>& read, const std::vector<TaskStatus>& expected) {
   ASSERT_EQ(read.size(), expected.size());
   for (size_t i = 0; i < read.size(); ++i) {
-    EXPECT_EQ(read[i].task, expected[i].task);
-    EXPECT_EQ(read[i].attempt, expected[i].attempt) << expected[i].task;
-    EXPECT_EQ(read[i].state, expected[i].state) << expected[i].task;
-    EXPECT_EQ(read[i].why, expected[i].why) << expected[i].task;
-    EXPECT_EQ(read[i].saved, expected[i].saved) << expected[i].task;
+    EXPECT_EQ(read[i].task_name, expected[i].task_name);
+    EXPECT_EQ(read[i].attempt, expected[i].attempt) << expected[i].task_name;
+    EXPECT_EQ(read[i].state, expected[i].state) << expected[i].task_name;
+    EXPECT_EQ(read[i].exit_reason, expected[i].exit_reason) << expected[i].task_name;
+    EXPECT_EQ(read[i].checkpointed, expected[i].checkpointed) << expected[i].task_name;
   }
 }
 
-void ExpectSameReport(const Report& read, const Report& expected) {
+void ExpectSameReport(const Heartbeat& read, const Heartbeat& expected) {
   EXPECT_EQ(read.machine, expected.machine);
   EXPECT_EQ(read.endpoint, expected.endpoint);
   EXPECT_EQ(read.type, expected.type);
   EXPECT_EQ(read.zone, expected.zone);
   EXPECT_EQ(read.spot, expected.spot);
-  EXPECT_EQ(read.session, expected.session);
-  EXPECT_EQ(read.seq, expected.seq);
-  EXPECT_EQ(read.token, expected.token);
-  EXPECT_EQ(read.notice_s, expected.notice_s);
+  EXPECT_EQ(read.agent_epoch, expected.agent_epoch);
+  EXPECT_EQ(read.sequence, expected.sequence);
+  EXPECT_EQ(read.fencing_token, expected.fencing_token);
+  EXPECT_EQ(read.preemption_notice_s, expected.preemption_notice_s);
   ExpectSameTasks(read.tasks, expected.tasks);
 }
 
@@ -152,7 +152,7 @@
 std::vector<Command> EveryCommand() {
   return {{CommandOp::kStart, "job-000412/3", kLargeNumber, 0},
           {CommandOp::kStop, "job-000412/4", 2, 7.5},
-          {CommandOp::kForget, "job-000412/5", 3, 0}};
+          {CommandOp::kAcknowledgeExit, "job-000412/5", 3, 0}};
 }
 
 constexpr const char* kEveryCommand =
@@ -163,51 +163,51 @@
 void ExpectSameCommands(const std::vector<Command>& read, const std::vector<Command>& expected) {
   ASSERT_EQ(read.size(), expected.size());
   for (size_t i = 0; i < read.size(); ++i) {
-    EXPECT_EQ(read[i].op, expected[i].op) << expected[i].task;
-    EXPECT_EQ(read[i].task, expected[i].task);
-    EXPECT_EQ(read[i].attempt, expected[i].attempt) << expected[i].task;
-    EXPECT_EQ(read[i].grace_s, expected[i].grace_s) << expected[i].task;
+    EXPECT_EQ(read[i].operation, expected[i].operation) << expected[i].task_name;
+    EXPECT_EQ(read[i].task_name, expected[i].task_name);
+    EXPECT_EQ(read[i].attempt, expected[i].attempt) << expected[i].task_name;
+    EXPECT_EQ(read[i].grace_period_s, expected[i].grace_period_s) << expected[i].task_name;
   }
 }
 
 TEST(GoldenWorkerWire, AFullReportIsEncodedAsEver) {
-  EXPECT_EQ(EncodeReport(FullReport()), kFullReport);
+  EXPECT_EQ(EncodeHeartbeat(FullReport()), kFullReport);
 }
 
 TEST(GoldenWorkerWire, AMinimalReportIsEncodedAsEver) {
-  Report report;
+  Heartbeat report;
   report.machine = "m-1";
-  EXPECT_EQ(EncodeReport(report), kMinimalReport);
+  EXPECT_EQ(EncodeHeartbeat(report), kMinimalReport);
 }
 
 TEST(GoldenWorkerWire, AnEndWithoutReasonIsEncodedAsError) {
-  Report report;
+  Heartbeat report;
   report.machine = "m-1";
-  report.tasks = {{"job-1/0", 1, TaskState::kExited, ExitWhy::kNone, false}};
-  EXPECT_EQ(EncodeReport(report),
+  report.tasks = {{"job-1/0", 1, TaskState::kExited, ExitReason::kNone, false}};
+  EXPECT_EQ(EncodeHeartbeat(report),
             R"({"cubierta":"m-1","endpoint":"","casco":"","muelle":"","prestados":false,)"
             R"("guardia":0,"correlativo":0,"mando":0,"faenas":[{"faena":"job-1/0","intento":1,)"
             R"("estado":"ended","motivo":"error","saved":false}]})");
 }
 
 TEST(GoldenWorkerWire, AFullReportIsReadIntoEveryField) {
-  Report report;
-  ASSERT_TRUE(DecodeReport(kFullReport, &report));
+  Heartbeat report;
+  ASSERT_TRUE(DecodeHeartbeat(kFullReport, &report));
   ExpectSameReport(report, FullReport());
 }
 
 TEST(GoldenWorkerWire, AReportWithoutWhatMayBeLeftOutIsReadWithDefaults) {
-  Report report;
-  ASSERT_TRUE(DecodeReport(R"({"cubierta":"m-1","endpoint":"a:1","casco":"box","muelle":"west",)"
-                           R"("guardia":1,"correlativo":2})",
-                           &report));
-  Report expected;
+  Heartbeat report;
+  ASSERT_TRUE(DecodeHeartbeat(R"({"cubierta":"m-1","endpoint":"a:1","casco":"box","muelle":"west",)"
+                              R"("guardia":1,"correlativo":2})",
+                              &report));
+  Heartbeat expected;
   expected.machine = "m-1";
   expected.endpoint = "a:1";
   expected.type = "box";
   expected.zone = "west";
-  expected.session = 1;
-  expected.seq = 2;
+  expected.agent_epoch = 1;
+  expected.sequence = 2;
   ExpectSameReport(report, expected);
 }
 
@@ -215,26 +215,26 @@
   const std::string head =
       R"({"cubierta":"m-1","endpoint":"a:1","casco":"box","muelle":"west","guardia":1,)"
       R"("correlativo":2,"faenas":[{"faena":"job-1/0","intento":1,"estado":)";
-  Report report;
-  ASSERT_TRUE(DecodeReport(head + R"("ended","motivo":"tired"}]})", &report));
+  Heartbeat report;
+  ASSERT_TRUE(DecodeHeartbeat(head + R"("ended","motivo":"tired"}]})", &report));
   ASSERT_EQ(report.tasks.size(), 1U);
-  EXPECT_EQ(report.tasks[0].why, ExitWhy::kError);
-  Report refused;
-  EXPECT_FALSE(DecodeReport(head + R"("exited"}]})", &refused));
+  EXPECT_EQ(report.tasks[0].exit_reason, ExitReason::kError);
+  Heartbeat refused;
+  EXPECT_FALSE(DecodeHeartbeat(head + R"("exited"}]})", &refused));
 }
 
 TEST(GoldenWorkerWire, AnswersToReportsAreEncodedAsEver) {
-  ReportResponse response;
+  HeartbeatResponse response;
   response.status = 200;
-  response.token = 1690000000000;
-  EXPECT_EQ(EncodeReportResponse(response), R"({"mando":1690000000000,"ordenes":[]})");
+  response.fencing_token = 1690000000000;
+  EXPECT_EQ(EncodeHeartbeatResponse(response), R"({"mando":1690000000000,"ordenes":[]})");
   response.commands = EveryCommand();
-  EXPECT_EQ(EncodeReportResponse(response),
+  EXPECT_EQ(EncodeHeartbeatResponse(response),
             std::string(R"({"mando":1690000000000,)") + kEveryCommand);
   response.status = 421;
-  response.report_to = "10.0.0.2:7001";
-  EXPECT_EQ(EncodeReportResponse(response), R"({"capitan":"10.0.0.2:7001"})");
-  EXPECT_EQ(EncodeReportResponse(ReportResponse()), R"({"error":"no leader"})");
+  response.redirect_to = "10.0.0.2:7001";
+  EXPECT_EQ(EncodeHeartbeatResponse(response), R"({"capitan":"10.0.0.2:7001"})");
+  EXPECT_EQ(EncodeHeartbeatResponse(HeartbeatResponse()), R"({"error":"no leader"})");
 }
 
 TEST(GoldenWorkerWire, CommandsAreEncodedAsEver) {
@@ -244,16 +244,16 @@
 }
 
 TEST(GoldenWorkerWire, OrdersAreReadIntoEveryField) {
-  WorkerOrders orders;
-  ASSERT_TRUE(
-      DecodeOrders(std::string(R"({"mando":1690000000000,"guardia":3,)") + kEveryCommand, &orders));
-  EXPECT_EQ(orders.token, 1690000000000U);
-  EXPECT_EQ(orders.session, 3U);
+  WorkerCommands orders;
+  ASSERT_TRUE(DecodeCommands(std::string(R"({"mando":1690000000000,"guardia":3,)") + kEveryCommand,
+                             &orders));
+  EXPECT_EQ(orders.fencing_token, 1690000000000U);
+  EXPECT_EQ(orders.agent_epoch, 3U);
   ExpectSameCommands(orders.commands, EveryCommand());
-  WorkerOrders minimal;
-  ASSERT_TRUE(DecodeOrders(R"({"mando":7})", &minimal));
-  EXPECT_EQ(minimal.token, 7U);
-  EXPECT_EQ(minimal.session, 0U);
+  WorkerCommands minimal;
+  ASSERT_TRUE(DecodeCommands(R"({"mando":7})", &minimal));
+  EXPECT_EQ(minimal.fencing_token, 7U);
+  EXPECT_EQ(minimal.agent_epoch, 0U);
   EXPECT_TRUE(minimal.commands.empty());
 }
 
@@ -346,27 +346,25 @@
 }
 
 TEST(GoldenJobWire, AnswersToUsersAreEncodedAsEver) {
-  UserRequest request;
-  request.id = "job-000412";
-  UserResponse response;
+  JobRequest request;
+  request.job_id = "job-000412";
+  JobResponse response;
   response.status = 200;
   response.state = JobState::kRunning;
-  response.done = 3;
-  response.running = 7;
-  EXPECT_EQ(EncodeUserResponse(request, response),
+  response.tasks_done = 3;
+  response.tasks_running = 7;
+  EXPECT_EQ(EncodeJobResponse(request, response),
             R"({"name_id":"job-000412","estado":"running","done":3,"running":7})");
-  request.op = UserOp::kCancel;
+  request.operation = JobOperation::kCancel;
   response.state = JobState::kCancelled;
-  EXPECT_EQ(EncodeUserResponse(request, response),
-            R"({"name_id":"job-000412","estado":"aborted"})");
-  request.op = UserOp::kSubmit;
+  EXPECT_EQ(EncodeJobResponse(request, response), R"({"name_id":"job-000412","estado":"aborted"})");
+  request.operation = JobOperation::kSubmit;
   response.status = 201;
   response.state = JobState::kPending;
-  EXPECT_EQ(EncodeUserResponse(request, response),
-            R"({"name_id":"job-000412","estado":"pending"})");
+  EXPECT_EQ(EncodeJobResponse(request, response), R"({"name_id":"job-000412","estado":"pending"})");
   response.status = 404;
   response.error = "no \"such\" job";
-  EXPECT_EQ(EncodeUserResponse(request, response), R"({"error":"no \"such\" job"})");
+  EXPECT_EQ(EncodeJobResponse(request, response), R"({"error":"no \"such\" job"})");
   EXPECT_EQ(EncodeError(""), R"({"error":""})");
 }
 
@@ -408,9 +406,9 @@
 }
 
 TEST(GoldenCloudWire, AMachineListIsReadIntoEveryField) {
-  std::vector<ListedMachine> machines;
+  std::vector<CloudInstance> machines;
   bool truncated = false;
-  ASSERT_TRUE(DecodeMachineList(
+  ASSERT_TRUE(DecodeInstanceList(
       R"({"cubiertas":[{"name_id":"m-1","endpoint":"10.0.0.1:7000","casco":"box",)"
       R"("muelle":"east","prestados":true,"estado":"running","age_s":12.5},)"
       R"({"name_id":"m-2","estado":"failed"},{"name_id":"m-3","estado":"starting"}],)"
@@ -423,74 +421,76 @@
   EXPECT_EQ(machines[0].type, "box");
   EXPECT_EQ(machines[0].zone, "east");
   EXPECT_TRUE(machines[0].spot);
-  EXPECT_EQ(machines[0].state, ListedState::kRunning);
+  EXPECT_EQ(machines[0].state, InstanceState::kRunning);
   EXPECT_EQ(machines[0].age_s, 12.5);
   EXPECT_EQ(machines[1].name, "m-2");
-  EXPECT_EQ(machines[1].state, ListedState::kFailed);
+  EXPECT_EQ(machines[1].state, InstanceState::kFailed);
   EXPECT_FALSE(machines[1].spot);
   EXPECT_EQ(machines[1].age_s, 0);
-  EXPECT_EQ(machines[2].state, ListedState::kStarting);
+  EXPECT_EQ(machines[2].state, InstanceState::kStarting);
 }
 
 TEST(GoldenCloudWire, AnEmptyMachineListIsRead) {
-  std::vector<ListedMachine> machines;
+  std::vector<CloudInstance> machines;
   bool truncated = true;
-  ASSERT_TRUE(DecodeMachineList(R"({"cubiertas":[]})", &machines, &truncated));
+  ASSERT_TRUE(DecodeInstanceList(R"({"cubiertas":[]})", &machines, &truncated));
   EXPECT_FALSE(truncated);
   EXPECT_TRUE(machines.empty());
 }
 
 TEST(GoldenCloudWire, RentedMachinesAreRead) {
   std::vector<std::string> machines;
-  ASSERT_TRUE(DecodeRented(R"({"cubiertas":["m-1","m-2"]})", &machines));
+  ASSERT_TRUE(DecodeScaleOutResponse(R"({"cubiertas":["m-1","m-2"]})", &machines));
   EXPECT_EQ(machines, (std::vector<std::string>{"m-1", "m-2"}));
 }
 
 TEST(GoldenCloudWire, RequestsAreEncodedAsEver) {
-  EXPECT_EQ(EncodeRental("r-102-1", "box", "east", true, 50),
+  EXPECT_EQ(EncodeScaleOut("r-102-1", "box", "east", true, 50),
             R"({"flete":"r-102-1","casco":"box","muelle":"east","prestados":true,"how_many":50})");
-  EXPECT_EQ(EncodeRental("", "", "", false, 0),
+  EXPECT_EQ(EncodeScaleOut("", "", "", false, 0),
             R"({"flete":"","casco":"","muelle":"","prestados":false,"how_many":0})");
-  EXPECT_EQ(EncodeReturn({"m-1", "m-2"}), R"({"cubiertas":["m-1","m-2"]})");
-  EXPECT_EQ(EncodeReturn({}), R"({"cubiertas":[]})");
-  EXPECT_EQ(ListPath("m-2", 500), "/machines?from=m-2&page=500");
-  EXPECT_EQ(ListPath("", 1), "/machines?from=&page=1");
+  EXPECT_EQ(EncodeScaleIn({"m-1", "m-2"}), R"({"cubiertas":["m-1","m-2"]})");
+  EXPECT_EQ(EncodeScaleIn({}), R"({"cubiertas":[]})");
+  EXPECT_EQ(InstanceListPath("m-2", 500), "/machines?from=m-2&page=500");
+  EXPECT_EQ(InstanceListPath("", 1), "/machines?from=&page=1");
 }
 
 TEST(GoldenStateWire, AFullTransactionIsEncodedAsEver) {
-  Txn txn;
-  txn.conditions = {{"deckhall/leader", kLargeNumber}, {"deckhall/pages/00000001", 0}};
-  txn.writes = {{"deckhall/pages/00000001", R"([{"s":"d","x":"job-1"}])", 0},
-                {"deckhall/leader", R"({"label":"n0"})", 12},
-                {"deckhall/pages/00000002", "", 0}};
-  EXPECT_EQ(EncodeTxn(txn), R"({"if":[{"key":"deckhall/leader","huella":9007199254740993},)"
-                            R"({"key":"deckhall/pages/00000001","huella":0}],"writes":[)"
-                            R"({"put":"deckhall/pages/00000001","data":[{"s":"d","x":"job-1"}]},)"
-                            R"({"put":"deckhall/leader","data":{"label":"n0"},"amarre":12},)"
-                            R"({"remove":"deckhall/pages/00000002"}]})");
+  Transaction txn;
+  txn.preconditions = {{"deckhall/leader", kLargeNumber}, {"deckhall/pages/00000001", 0}};
+  txn.mutations = {{"deckhall/pages/00000001", R"([{"s":"d","x":"job-1"}])", 0},
+                   {"deckhall/leader", R"({"label":"n0"})", 12},
+                   {"deckhall/pages/00000002", "", 0}};
+  EXPECT_EQ(EncodeTransaction(txn),
+            R"({"if":[{"key":"deckhall/leader","huella":9007199254740993},)"
+            R"({"key":"deckhall/pages/00000001","huella":0}],"writes":[)"
+            R"({"put":"deckhall/pages/00000001","data":[{"s":"d","x":"job-1"}]},)"
+            R"({"put":"deckhall/leader","data":{"label":"n0"},"amarre":12},)"
+            R"({"remove":"deckhall/pages/00000002"}]})");
 }
 
 TEST(GoldenStateWire, AnEmptyTransactionAndAGrantAreEncodedAsEver) {
-  EXPECT_EQ(EncodeTxn(Txn()), R"({"if":[]})");
-  EXPECT_EQ(EncodeGrant(2500), R"({"ttl_ms":2500})");
+  EXPECT_EQ(EncodeTransaction(Transaction()), R"({"if":[]})");
+  EXPECT_EQ(EncodeLeaseGrant(2500), R"({"ttl_ms":2500})");
 }
 
 TEST(GoldenStateWire, ARowIsReadIntoEveryField) {
-  KvRow row;
-  ASSERT_TRUE(DecodeRow(R"({"key":"a/b","huella":9007199254740993,"data":[{"c":1.50}]})", &row));
+  KeyValue row;
+  ASSERT_TRUE(
+      DecodeKeyValue(R"({"key":"a/b","huella":9007199254740993,"data":[{"c":1.50}]})", &row));
   EXPECT_EQ(row.key, "a/b");
   EXPECT_EQ(row.version, kLargeNumber);
   EXPECT_EQ(row.value, R"([{"c":1.5}])");
 }
 
 TEST(GoldenStateWire, RowsAreReadIntoEveryField) {
-  std::vector<KvRow> rows;
+  std::vector<KeyValue> rows;
   bool truncated = false;
   uint64_t revision = 0;
-  ASSERT_TRUE(
-      DecodeRows(R"({"rows":[{"key":"a","huella":1,"data":{}},{"key":"b","huella":2,"data":"x"}],)"
-                 R"("truncated":true,"marea":77})",
-                 &rows, &truncated, &revision));
+  ASSERT_TRUE(DecodeKeyValues(
+      R"({"rows":[{"key":"a","huella":1,"data":{}},{"key":"b","huella":2,"data":"x"}],)"
+      R"("truncated":true,"marea":77})",
+      &rows, &truncated, &revision));
   EXPECT_TRUE(truncated);
   EXPECT_EQ(revision, 77U);
   ASSERT_EQ(rows.size(), 2U);
@@ -507,9 +507,9 @@
   ASSERT_TRUE(DecodeRevision(R"({"marea":9007199254740993})", &revision));
   EXPECT_EQ(revision, kLargeNumber);
   uint64_t lease = 0;
-  ASSERT_TRUE(DecodeGrant(R"({"amarre":12})", &lease));
+  ASSERT_TRUE(DecodeLeaseGrant(R"({"amarre":12})", &lease));
   EXPECT_EQ(lease, 12U);
-  EXPECT_FALSE(DecodeGrant(R"({"amarre":0})", &lease));
+  EXPECT_FALSE(DecodeLeaseGrant(R"({"amarre":0})", &lease));
 }
 
 std::string ToHex(const std::string& bytes) {
@@ -530,79 +530,79 @@
   return bytes;
 }
 
-std::string EncodedHex(const MeshFrame& frame) {
+std::string EncodedHex(const PeerFrame& frame) {
   std::string bytes;
   EncodeFrame(frame, &bytes);
   return ToHex(bytes);
 }
 
 // Reads a frame from its literal bytes, whose length goes first.
-MeshFrame DecodedFrame(const std::string& hex) {
-  MeshFrame frame;
+PeerFrame DecodedFrame(const std::string& hex) {
+  PeerFrame frame;
   EXPECT_TRUE(DecodeFrame(FromHex(hex).substr(kLengthBytes), &frame));
   return frame;
 }
 
-MeshFrame Addressed() {
-  MeshFrame frame;
+PeerFrame Addressed() {
+  PeerFrame frame;
   frame.id = 0x0102030405060708;
   frame.target = "n2";
   frame.hops = 3;
   return frame;
 }
 
-void ExpectAddressed(const MeshFrame& frame) {
+void ExpectAddressed(const PeerFrame& frame) {
   EXPECT_EQ(frame.id, 0x0102030405060708U);
   EXPECT_EQ(frame.target, "n2");
   EXPECT_EQ(frame.hops, 3);
 }
 
-MeshPing FullPing() {
-  MeshPing ping;
+PeerPing FullPing() {
+  PeerPing ping;
   ping.label = "n1";
   ping.instance = kLargeNumber;
-  ping.leading = true;
-  ping.holding = false;
-  ping.informed = true;
+  ping.lease_valid = true;
+  ping.holds_leader_key = false;
+  ping.term_confirmed = true;
   ping.term = 102;
   ping.leader = "n0";
-  ping.reaches = {"n0", "n2"};
+  ping.reachable_peers = {"n0", "n2"};
   return ping;
 }
 
-UserRequest Submission() {
-  UserRequest request;
-  request.op = UserOp::kSubmit;
-  request.id = "job-000412";
+JobRequest Submission() {
+  JobRequest request;
+  request.operation = JobOperation::kSubmit;
+  request.job_id = "job-000412";
   request.job = FullJob();
   request.job.gang = true;
   return request;
 }
 
-UserRequest InvalidSubmission() {
-  UserRequest request;
-  request.op = UserOp::kSubmit;
-  request.id = "job-7";
-  request.invalid = "missing or invalid: clase";
+JobRequest InvalidSubmission() {
+  JobRequest request;
+  request.operation = JobOperation::kSubmit;
+  request.job_id = "job-7";
+  request.validation_error = "missing or invalid: clase";
   return request;
 }
 
-UserResponse FullUserResponse() {
-  UserResponse response;
+JobResponse FullUserResponse() {
+  JobResponse response;
   response.status = 409;
   response.state = JobState::kCancelled;
-  response.done = 70000;
-  response.running = 9;
+  response.tasks_done = 70000;
+  response.tasks_running = 9;
   response.error = "another job has this id";
   response.retry_after_s = 5;
   return response;
 }
 
-ReportResponse FullReportResponse() {
-  ReportResponse response;
+HeartbeatResponse FullReportResponse() {
+  HeartbeatResponse response;
   response.status = 421;
-  response.token = 1690000000000;
-  response.report_to = "10.0.0.2:7001";
+  response.fencing_token = 1690000000000;
+  response.redirect_to = "10.0.0.2:7001";
   response.commands = EveryCommand();
   return response;
 }
@@ -707,152 +707,152 @@
 
 TEST(GoldenMeshWire, AFrameWithoutBodyIsTheSameBytes) {
   EXPECT_EQ(EncodedHex(Addressed()), kNoneFrame);
-  const MeshFrame frame = DecodedFrame(kNoneFrame);
+  const PeerFrame frame = DecodedFrame(kNoneFrame);
   ExpectAddressed(frame);
   EXPECT_TRUE(std::holds_alternative<std::monostate>(frame.body));
 }
 
 TEST(GoldenMeshWire, APingIsTheSameBytes) {
-  MeshFrame frame = Addressed();
+  PeerFrame frame = Addressed();
   frame.body = FullPing();
   EXPECT_EQ(EncodedHex(frame), kPingFrame);
 }
 
 TEST(GoldenMeshWire, APingIsReadIntoEveryField) {
-  const MeshFrame frame = DecodedFrame(kPingFrame);
+  const PeerFrame frame = DecodedFrame(kPingFrame);
   ExpectAddressed(frame);
-  ASSERT_TRUE(std::holds_alternative<MeshPing>(frame.body));
-  const MeshPing& ping = std::get<MeshPing>(frame.body);
+  ASSERT_TRUE(std::holds_alternative<PeerPing>(frame.body));
+  const PeerPing& ping = std::get<PeerPing>(frame.body);
   EXPECT_EQ(ping.label, "n1");
   EXPECT_EQ(ping.instance, kLargeNumber);
-  EXPECT_TRUE(ping.leading);
-  EXPECT_FALSE(ping.holding);
-  EXPECT_TRUE(ping.informed);
+  EXPECT_TRUE(ping.lease_valid);
+  EXPECT_FALSE(ping.holds_leader_key);
+  EXPECT_TRUE(ping.term_confirmed);
   EXPECT_EQ(ping.term, 102U);
   EXPECT_EQ(ping.leader, "n0");
-  EXPECT_EQ(ping.reaches, (std::vector<std::string>{"n0", "n2"}));
+  EXPECT_EQ(ping.reachable_peers, (std::vector<std::string>{"n0", "n2"}));
 }
 
 TEST(GoldenMeshWire, APingOfAHolderThatDoesNotLeadIsTheSameBytes) {
-  MeshPing ping;
-  ping.holding = true;
-  MeshFrame frame = Addressed();
+  PeerPing ping;
+  ping.holds_leader_key = true;
+  PeerFrame frame = Addressed();
   frame.body = ping;
   EXPECT_EQ(EncodedHex(frame), kHolderPingFrame);
-  const MeshFrame read = DecodedFrame(kHolderPingFrame);
-  ASSERT_TRUE(std::holds_alternative<MeshPing>(read.body));
-  EXPECT_FALSE(std::get<MeshPing>(read.body).leading);
-  EXPECT_TRUE(std::get<MeshPing>(read.body).holding);
-  EXPECT_FALSE(std::get<MeshPing>(read.body).informed);
+  const PeerFrame read = DecodedFrame(kHolderPingFrame);
+  ASSERT_TRUE(std::holds_alternative<PeerPing>(read.body));
+  EXPECT_FALSE(std::get<PeerPing>(read.body).lease_valid);
+  EXPECT_TRUE(std::get<PeerPing>(read.body).holds_leader_key);
+  EXPECT_FALSE(std::get<PeerPing>(read.body).term_confirmed);
 }
 
 TEST(GoldenMeshWire, ASubmissionIsTheSameBytes) {
-  MeshFrame frame = Addressed();
+  PeerFrame frame = Addressed();
   frame.body = Submission();
   EXPECT_EQ(EncodedHex(frame), kSubmissionFrame);
 }
 
 TEST(GoldenMeshWire, ASubmissionIsReadIntoEveryField) {
-  const MeshFrame frame = DecodedFrame(kSubmissionFrame);
+  const PeerFrame frame = DecodedFrame(kSubmissionFrame);
   ExpectAddressed(frame);
-  ASSERT_TRUE(std::holds_alternative<UserRequest>(frame.body));
-  const UserRequest& request = std::get<UserRequest>(frame.body);
-  EXPECT_EQ(request.op, UserOp::kSubmit);
-  EXPECT_EQ(request.id, "job-000412");
-  EXPECT_EQ(request.invalid, "");
+  ASSERT_TRUE(std::holds_alternative<JobRequest>(frame.body));
+  const JobRequest& request = std::get<JobRequest>(frame.body);
+  EXPECT_EQ(request.operation, JobOperation::kSubmit);
+  EXPECT_EQ(request.job_id, "job-000412");
+  EXPECT_EQ(request.validation_error, "");
   ExpectSameJob(request.job, Submission().job);
 }
 
 TEST(GoldenMeshWire, AServiceOfAnyTypeWithoutDeadlineIsTheSameBytes) {
-  UserRequest request = Submission();
+  JobRequest request = Submission();
   request.job = MinimalJob();
   request.job.service = true;
   request.job.priority = Priority::kProduction;
-  MeshFrame frame = Addressed();
+  PeerFrame frame = Addressed();
   frame.body = request;
   EXPECT_EQ(EncodedHex(frame), kMinimalSubmissionFrame);
-  const MeshFrame read = DecodedFrame(kMinimalSubmissionFrame);
-  ASSERT_TRUE(std::holds_alternative<UserRequest>(read.body));
-  ExpectSameJob(std::get<UserRequest>(read.body).job, request.job);
+  const PeerFrame read = DecodedFrame(kMinimalSubmissionFrame);
+  ASSERT_TRUE(std::holds_alternative<JobRequest>(read.body));
+  ExpectSameJob(std::get<JobRequest>(read.body).job, request.job);
 }
 
 TEST(GoldenMeshWire, AnInvalidSubmissionIsTheSameBytes) {
-  MeshFrame frame = Addressed();
+  PeerFrame frame = Addressed();
   frame.body = InvalidSubmission();
   EXPECT_EQ(EncodedHex(frame), kInvalidSubmissionFrame);
-  const MeshFrame read = DecodedFrame(kInvalidSubmissionFrame);
-  ASSERT_TRUE(std::holds_alternative<UserRequest>(read.body));
-  const UserRequest& request = std::get<UserRequest>(read.body);
-  EXPECT_EQ(request.op, UserOp::kSubmit);
-  EXPECT_EQ(request.id, "job-7");
-  EXPECT_EQ(request.invalid, "missing or invalid: clase");
+  const PeerFrame read = DecodedFrame(kInvalidSubmissionFrame);
+  ASSERT_TRUE(std::holds_alternative<JobRequest>(read.body));
+  const JobRequest& request = std::get<JobRequest>(read.body);
+  EXPECT_EQ(request.operation, JobOperation::kSubmit);
+  EXPECT_EQ(request.job_id, "job-7");
+  EXPECT_EQ(request.validation_error, "missing or invalid: clase");
 }
 
 TEST(GoldenMeshWire, AnAnswerToAUserIsTheSameBytes) {
-  MeshFrame frame = Addressed();
+  PeerFrame frame = Addressed();
   frame.body = FullUserResponse();
   EXPECT_EQ(EncodedHex(frame), kUserResponseFrame);
 }
 
 TEST(GoldenMeshWire, AnAnswerToAUserIsReadIntoEveryField) {
-  const MeshFrame frame = DecodedFrame(kUserResponseFrame);
+  const PeerFrame frame = DecodedFrame(kUserResponseFrame);
   ExpectAddressed(frame);
-  ASSERT_TRUE(std::holds_alternative<UserResponse>(frame.body));
-  const UserResponse& response = std::get<UserResponse>(frame.body);
+  ASSERT_TRUE(std::holds_alternative<JobResponse>(frame.body));
+  const JobResponse& response = std::get<JobResponse>(frame.body);
   EXPECT_EQ(response.status, 409);
   EXPECT_EQ(response.state, JobState::kCancelled);
-  EXPECT_EQ(response.done, 70000U);
-  EXPECT_EQ(response.running, 9U);
+  EXPECT_EQ(response.tasks_done, 70000U);
+  EXPECT_EQ(response.tasks_running, 9U);
   EXPECT_EQ(response.error, "another job has this id");
   EXPECT_EQ(response.retry_after_s, 5);
 }
 
 TEST(GoldenMeshWire, AReportIsTheSameBytes) {
-  MeshFrame frame = Addressed();
+  PeerFrame frame = Addressed();
   frame.body = FullReport();
   EXPECT_EQ(EncodedHex(frame), kReportFrame);
 }
 
 TEST(GoldenMeshWire, AReportIsReadIntoEveryField) {
-  const MeshFrame frame = DecodedFrame(kReportFrame);
+  const PeerFrame frame = DecodedFrame(kReportFrame);
   ExpectAddressed(frame);
-  ASSERT_TRUE(std::holds_alternative<Report>(frame.body));
-  ExpectSameReport(std::get<Report>(frame.body), FullReport());
+  ASSERT_TRUE(std::holds_alternative<Heartbeat>(frame.body));
+  ExpectSameReport(std::get<Heartbeat>(frame.body), FullReport());
 }
 
 TEST(GoldenMeshWire, AReportWithoutNoticeIsTheSameBytes) {
-  Report report;
+  Heartbeat report;
   report.machine = "m-1";
-  MeshFrame frame = Addressed();
+  PeerFrame frame = Addressed();
   frame.body = report;
   EXPECT_EQ(EncodedHex(frame), kMinimalReportFrame);
-  const MeshFrame read = DecodedFrame(kMinimalReportFrame);
-  ASSERT_TRUE(std::holds_alternative<Report>(read.body));
-  ExpectSameReport(std::get<Report>(read.body), report);
+  const PeerFrame read = DecodedFrame(kMinimalReportFrame);
+  ASSERT_TRUE(std::holds_alternative<Heartbeat>(read.body));
+  ExpectSameReport(std::get<Heartbeat>(read.body), report);
 }
 
 TEST(GoldenMeshWire, AnAnswerToAReportIsTheSameBytes) {
-  MeshFrame frame = Addressed();
+  PeerFrame frame = Addressed();
   frame.body = FullReportResponse();
   EXPECT_EQ(EncodedHex(frame), kReportResponseFrame);
 }
 
 TEST(GoldenMeshWire, AnAnswerToAReportIsReadIntoEveryField) {
-  const MeshFrame frame = DecodedFrame(kReportResponseFrame);
+  const PeerFrame frame = DecodedFrame(kReportResponseFrame);
   ExpectAddressed(frame);
-  ASSERT_TRUE(std::holds_alternative<ReportResponse>(frame.body));
-  const ReportResponse& response = std::get<ReportResponse>(frame.body);
+  ASSERT_TRUE(std::holds_alternative<HeartbeatResponse>(frame.body));
+  const HeartbeatResponse& response = std::get<HeartbeatResponse>(frame.body);
   EXPECT_EQ(response.status, 421);
-  EXPECT_EQ(response.token, 1690000000000U);
-  EXPECT_EQ(response.report_to, "10.0.0.2:7001");
+  EXPECT_EQ(response.fencing_token, 1690000000000U);
+  EXPECT_EQ(response.redirect_to, "10.0.0.2:7001");
   ExpectSameCommands(response.commands, EveryCommand());
 }
 
 // Frames carry enumerators as numbers.
 TEST(GoldenMeshWire, EveryEnumeratorKeepsItsNumber) {
-  EXPECT_EQ(static_cast<int>(UserOp::kGet), 0);
-  EXPECT_EQ(static_cast<int>(UserOp::kCancel), 1);
-  EXPECT_EQ(static_cast<int>(UserOp::kSubmit), 2);
+  EXPECT_EQ(static_cast<int>(JobOperation::kGet), 0);
+  EXPECT_EQ(static_cast<int>(JobOperation::kCancel), 1);
+  EXPECT_EQ(static_cast<int>(JobOperation::kSubmit), 2);
   EXPECT_EQ(static_cast<int>(JobState::kPending), 0);
   EXPECT_EQ(static_cast<int>(JobState::kRunning), 1);
   EXPECT_EQ(static_cast<int>(JobState::kDone), 2);
@@ -863,8 +863,8 @@
   EXPECT_EQ(static_cast<int>(Priority::kProduction), 3);
   EXPECT_EQ(static_cast<int>(CommandOp::kStart), 0);
   EXPECT_EQ(static_cast<int>(CommandOp::kStop), 1);
-  EXPECT_EQ(static_cast<int>(CommandOp::kForget), 2);
-  EXPECT_EQ(static_cast<int>(ExitWhy::kNone), 0);
+  EXPECT_EQ(static_cast<int>(CommandOp::kAcknowledgeExit), 2);
+  EXPECT_EQ(static_cast<int>(ExitReason::kNone), 0);
 }
 
 }  // namespace
--- a/tests/handover_test.cc
+++ b/tests/handover_test.cc
@@ -118,8 +118,8 @@
       if (i == 10) c->Freeze(c->Leader(), 4);
       for (int look = 0; look < 100; ++look) {
         c->Run(0.006);
-        c->AskOnce(UserOp::kGet, id);
-        if (c->Accepted(id) && look % 10 == 0) c->AskOnce(UserOp::kSubmit, id);
+        c->AskOnce(JobOperation::kGet, id);
+        if (c->Accepted(id) && look % 10 == 0) c->AskOnce(JobOperation::kSubmit, id);
         if (called_off && c->Accepted(id) && look == 50) c->Cancel(id);
       }
     }
@@ -191,7 +191,7 @@
       arrays.push_back(JobName(i));
       c->Submit(c->Array(arrays.back(), 2));
       c->Run(1.5);
-      for (int look = 0; look < 5; ++look) c->AskOnce(UserOp::kGet, arrays.back());
+      for (int look = 0; look < 5; ++look) c->AskOnce(JobOperation::kGet, arrays.back());
       if (i == 6) c->Cancel("job-2");
       if (i % 5 != 0) continue;
       const size_t leader = c->Leader();
--- a/tests/leader_test.cc
+++ b/tests/leader_test.cc
@@ -13,10 +13,10 @@
   EXPECT_EQ(w.Submit(w.Array("job-1", 2)).status, 201);
   w.Pass(1);
   EXPECT_EQ(m.started.size(), 2U);
-  m.End("job-1/0", ExitWhy::kDone);
-  m.End("job-1/1", ExitWhy::kDone);
+  m.End("job-1/0", ExitReason::kDone);
+  m.End("job-1/1", ExitReason::kDone);
   w.Pass(2);
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-1").state, JobState::kDone);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").state, JobState::kDone);
 }
 
 TEST(Leader, AcceptsOnlyWhatIsDurable) {
@@ -24,10 +24,10 @@
   w.Lead();
   w.state.refuse = true;
   EXPECT_EQ(w.Submit(w.Array("job-1", 2)).status, 0);  // still waiting for the store
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-1").status, 503);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").status, 503);
   w.state.refuse = false;
   w.Pass(1);
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-1").status, 200);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").status, 200);
 }
 
 TEST(Leader, AnUnansweredTransactionThatWasAppliedIsNotLost) {
@@ -36,10 +36,10 @@
   w.state.lose_answers = 1;
   w.Submit(w.Array("job-1", 2));
   w.Pass(2);
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-1").status, 200);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").status, 200);
   EXPECT_FALSE(w.deposed);
   w.Lead();
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-1").status, 200);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").status, 200);
 }
 
 TEST(Leader, ATransactionAppliedLateDoesNotUndoALaterOne) {
@@ -48,11 +48,11 @@
   w.state.hold_commits = 1;
   w.Submit(w.Array("job-1", 2));
   w.Pass(1);  // written again, under the same version
-  EXPECT_EQ(w.Ask(UserOp::kCancel, "job-1").state, JobState::kCancelled);
+  EXPECT_EQ(w.Ask(JobOperation::kCancel, "job-1").state, JobState::kCancelled);
   w.state.Late();
   w.Pass(1);
   w.Lead();
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-1").state, JobState::kCancelled);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").state, JobState::kCancelled);
 }
 
 TEST(Leader, AWriteThatMeetsAnotherTermEndsThisOne) {
@@ -69,8 +69,8 @@
   World w;
   w.Lead();
   auto& m = w.Machine("m-1", "east");
-  m.report.token = (w.leader->term() + 1) << kTermShift;
-  ++m.report.seq;
+  m.report.fencing_token = (w.leader->term() + 1) << kTermShift;
+  ++m.report.sequence;
   w.lease.until = w.clock.now - 0.1;
   EXPECT_EQ(w.leader->OnReport(m.report).status, 421);
   EXPECT_TRUE(w.deposed);
@@ -82,12 +82,14 @@
   auto& m = w.Machine("m-1", "east");
   w.Submit(w.Array("job-1", 1));
   w.Pass(1);
-  m.End("job-1/0", ExitWhy::kDone);
+  m.End("job-1/0", ExitReason::kDone);
   w.Pass(1);
-  const UserResponse again = w.Ask(UserOp::kSubmit, "job-1", nullptr, "missing or invalid: cores");
+  const JobResponse again =
+      w.Ask(JobOperation::kSubmit, "job-1", nullptr, "missing or invalid: cores");
   EXPECT_EQ(again.status, 200);
   EXPECT_EQ(again.state, JobState::kDone);
-  EXPECT_EQ(w.Ask(UserOp::kSubmit, "job-2", nullptr, "missing or invalid: cores").status, 400);
+  EXPECT_EQ(w.Ask(JobOperation::kSubmit, "job-2", nullptr, "missing or invalid: cores").status,
+            400);
   // Also long after its end, when only the end is kept, and by another leader.
   w.Pass(120);
   EXPECT_EQ(w.Submit(w.Array("job-1", 1)).state, JobState::kDone);
@@ -103,13 +105,13 @@
   auto& m = w.Machine("m-1", "east");
   w.Submit(w.Array("job-1", 1));
   w.Pass(1);
-  m.End("job-1/0", ExitWhy::kDone);
+  m.End("job-1/0", ExitReason::kDone);
   w.Pass(2);
-  ASSERT_EQ(w.Ask(UserOp::kGet, "job-1").state, JobState::kDone);
+  ASSERT_EQ(w.Ask(JobOperation::kGet, "job-1").state, JobState::kDone);
   w.state.refuse = true;  // nothing more becomes durable
   for (int i = 0; i < 100; ++i) {
     w.Pass(1);
-    ASSERT_EQ(w.Ask(UserOp::kGet, "job-1").state, JobState::kDone);
+    ASSERT_EQ(w.Ask(JobOperation::kGet, "job-1").state, JobState::kDone);
   }
 }
 
@@ -140,18 +142,18 @@
   ASSERT_EQ(m.started.size(), 1U);
   w.Submit(w.Array("job-2", 3));
   w.lease.until = w.clock.now - 0.1;
-  m.End("job-1/0", ExitWhy::kError);
+  m.End("job-1/0", ExitReason::kError);
   const size_t before = m.started.size();
   w.Pass(3);
   EXPECT_EQ(m.started.size(), before);
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-1").status, 503);
-  ++m.report.seq;
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").status, 503);
+  ++m.report.sequence;
   EXPECT_EQ(w.leader->OnReport(m.report).status, 200);
   // What it renewed last is gone before a cancellation that another one told meanwhile
   // runs out of time.
   EXPECT_LT(GracePeriodSeconds(w.settings) + w.settings.lease_s, w.settings.cancel_s);
   w.clock.now += GracePeriodSeconds(w.settings) + 1;
-  ++m.report.seq;
+  ++m.report.sequence;
   EXPECT_EQ(w.leader->OnReport(m.report).status, 503);
 }
 
@@ -180,12 +182,12 @@
   w.Submit(w.Array("job-1", 1));
   w.Pass(1);
   w.state.refuse = true;
-  a.End("job-1/0", ExitWhy::kDone);
+  a.End("job-1/0", ExitReason::kDone);
   w.Pass(2);
-  EXPECT_NE(w.Ask(UserOp::kGet, "job-1").state, JobState::kDone);
+  EXPECT_NE(w.Ask(JobOperation::kGet, "job-1").state, JobState::kDone);
   w.state.refuse = false;
   w.Pass(1);
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-1").state, JobState::kDone);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").state, JobState::kDone);
 }
 
 TEST(Leader, AnOutageThatReachesEverybodyDoesNotEndTheHold) {
@@ -196,10 +198,10 @@
   w.lease.until = w.clock.now - 0.1;
   w.clock.now += GracePeriodSeconds(w.settings) * 3;
   w.no_later_term_since = w.clock.now - 1;  // the others know of no later term
-  ++m.report.seq;
+  ++m.report.sequence;
   EXPECT_EQ(w.leader->OnReport(m.report).status, 200);
   w.no_later_term_since = w.clock.now - GracePeriodSeconds(w.settings) - 1;
-  ++m.report.seq;
+  ++m.report.sequence;
   EXPECT_EQ(w.leader->OnReport(m.report).status, 503);
 }
 
@@ -208,7 +210,7 @@
   w.settings.mem_mb = 0.1;  // some ten jobs, some four hundred tasks
   w.Lead();
   EXPECT_EQ(w.Submit(w.Array("job-1", 300)).status, 201);
-  const UserResponse tasks = w.Submit(w.Array("job-2", 200));
+  const JobResponse tasks = w.Submit(w.Array("job-2", 200));
   EXPECT_EQ(tasks.status, 503);
   EXPECT_GT(tasks.retry_after_s, 0);
   int accepted = 0;
@@ -217,7 +219,7 @@
   }
   EXPECT_GT(accepted, 5);
   EXPECT_LT(accepted, 20);
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-1").status, 200);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").status, 200);
   EXPECT_EQ(w.Submit(w.Array("job-1", 300)).status, 200);  // known: no new one
 }
 
--- a/tests/loopback_fleet.cc
+++ b/tests/loopback_fleet.cc
@@ -25,7 +25,7 @@
 }  // namespace
 
 struct LoopbackFleet::Worker {
-  Report report;
+  Heartbeat report;
   std::string state = "starting";
   double rented_at = 0;
   double boots_at = 0;
@@ -41,14 +41,14 @@
 
   double Used(const std::map<std::string, JobSpec>& jobs) const {
     double cores = 0;
-    for (const TaskReport& t : report.tasks) {
-      if (t.state != TaskState::kExited) cores += jobs.at(JobOf(t.task)).cores;
+    for (const TaskStatus& t : report.tasks) {
+      if (t.state != TaskState::kExited) cores += jobs.at(JobOf(t.task_name)).cores;
     }
     return cores;
   }
   std::string Reported() {
-    ++report.seq;
-    return EncodeReport(report);
+    ++report.sequence;
+    return EncodeHeartbeat(report);
   }
 };
 
@@ -114,7 +114,7 @@
     worker->report.machine = name;
     worker->report.type = type;
     worker->report.zone = zone;
-    worker->report.session = 1;
+    worker->report.agent_epoch = 1;
     worker->rented_at = SteadySeconds();
     worker->boots_at = worker->rented_at + options_.boot_s;
     names += (names.empty() ? "\"" : ",\"") + std::string(name) + "\"";
@@ -182,66 +182,67 @@
     reply(Answer(200, worker->Reported()));
     return;
   }
-  WorkerOrders orders;
-  if (!DecodeOrders(request.body, &orders)) {
+  WorkerCommands orders;
+  if (!DecodeCommands(request.body, &orders)) {
     reply(Answer(400, "{}"));
     return;
   }
-  const bool entitled =
-      orders.token >= worker->report.token && orders.session == worker->report.session;
+  const bool entitled = orders.fencing_token >= worker->report.fencing_token &&
+                        orders.agent_epoch == worker->report.agent_epoch;
   if (entitled) Execute(worker, orders);
   reply(Answer(entitled ? 200 : 409, worker->Reported()));
 }
 
-void LoopbackFleet::Execute(Worker* worker, const WorkerOrders& orders) {
-  std::vector<TaskReport>& tasks = worker->report.tasks;
-  if (orders.token > worker->report.token) worker->changed = true;
-  worker->report.token = std::max(worker->report.token, orders.token);
+void LoopbackFleet::Execute(Worker* worker, const WorkerCommands& orders) {
+  std::vector<TaskStatus>& tasks = worker->report.tasks;
+  if (orders.fencing_token > worker->report.fencing_token) worker->changed = true;
+  worker->report.fencing_token = std::max(worker->report.fencing_token, orders.fencing_token);
   for (const Command& c : orders.commands) {
-    auto it = std::find_if(tasks.begin(), tasks.end(), [&c](const TaskReport& t) {
-      return t.task == c.task && t.attempt == c.attempt;
+    auto it = std::find_if(tasks.begin(), tasks.end(), [&c](const TaskStatus& t) {
+      return t.task_name == c.task_name && t.attempt == c.attempt;
     });
     const bool here = it != tasks.end() && it->state != TaskState::kExited;
-    if (c.op == CommandOp::kStart && it == tasks.end()) {
+    if (c.operation == CommandOp::kStart && it == tasks.end()) {
       Launch(worker, c);
-    } else if (c.op == CommandOp::kStop && here) {
-      oracle_->Stopped(SteadySeconds(), SteadySeconds(), c.task);
-      End(worker, &*it, ExitWhy::kStopped);
-    } else if (c.op == CommandOp::kForget && it != tasks.end() && !here) {
+    } else if (c.operation == CommandOp::kStop && here) {
+      oracle_->Stopped(SteadySeconds(), SteadySeconds(), c.task_name);
+      End(worker, &*it, ExitReason::kStopped);
+    } else if (c.operation == CommandOp::kAcknowledgeExit && it != tasks.end() && !here) {
       tasks.erase(it);
     }
   }
 }
 
 void LoopbackFleet::Launch(Worker* worker, const Command& command) {
-  std::vector<TaskReport>& tasks = worker->report.tasks;
-  const auto job = jobs_.find(JobOf(command.task));
-  const bool here = std::any_of(tasks.begin(), tasks.end(), [&command](const TaskReport& other) {
-    return other.task == command.task && other.state != TaskState::kExited;
+  std::vector<TaskStatus>& tasks = worker->report.tasks;
+  const auto job = jobs_.find(JobOf(command.task_name));
+  const bool here = std::any_of(tasks.begin(), tasks.end(), [&command](const TaskStatus& other) {
+    return other.task_name == command.task_name && other.state != TaskState::kExited;
   });
-  ExitWhy refused = ExitWhy::kNone;
+  ExitReason refused = ExitReason::kNone;
   if (job == jobs_.end()) {
-    refused = ExitWhy::kUnknown;
+    refused = ExitReason::kUnknown;
   } else if (here) {
-    refused = ExitWhy::kInUse;
+    refused = ExitReason::kInUse;
   } else if (worker->Used(jobs_) + job->second.cores > options_.cores + 1e-6) {
-    refused = ExitWhy::kNoRoom;
+    refused = ExitReason::kNoRoom;
   }
-  tasks.push_back({command.task, command.attempt, TaskState::kFetching, ExitWhy::kNone, false});
+  tasks.push_back(
+      {command.task_name, command.attempt, TaskState::kFetching, ExitReason::kNone, false});
   worker->changed = true;
-  if (refused != ExitWhy::kNone) {
+  if (refused != ExitReason::kNone) {
     End(worker, &tasks.back(), refused);
   } else {
-    worker->runs_at[command.task] = SteadySeconds() + options_.start_s;
+    worker->runs_at[command.task_name] = SteadySeconds() + options_.start_s;
   }
 }
 
-void LoopbackFleet::End(Worker* worker, TaskReport* task, ExitWhy why) {
+void LoopbackFleet::End(Worker* worker, TaskStatus* task, ExitReason why) {
   if (task->state == TaskState::kRunning) {
-    oracle_->Ended(SteadySeconds(), task->task, worker->report.machine);
+    oracle_->Ended(SteadySeconds(), task->task_name, worker->report.machine);
   }
   task->state = TaskState::kExited;
-  task->why = why;
+  task->exit_reason = why;
   worker->changed = true;
 }
 
@@ -252,33 +253,33 @@
   worker->client->Call(controllers_[worker->controller],
                        {"POST", "/checkin", worker->Reported(), kReportTimeout},
                        [this, worker, sent = SteadySeconds(),
-                        session = worker->report.session](const HttpResult& r) {
+                        session = worker->report.agent_epoch](const HttpResult& r) {
                          worker->waiting = false;
-                         if (worker->state == "running" && session == worker->report.session) {
+                         if (worker->state == "running" && session == worker->report.agent_epoch) {
                            Answered(worker, sent, r);
                          }
                        });
 }
 
 void LoopbackFleet::Answered(Worker* worker, double sent, const HttpResult& result) {
-  WorkerOrders orders;
-  if (result.status != 200 || !DecodeOrders(result.body, &orders)) {
+  WorkerCommands orders;
+  if (result.status != 200 || !DecodeCommands(result.body, &orders)) {
     worker->controller = (worker->controller + 1) % controllers_.size();
     worker->next_report = SteadySeconds() + 1;
     return;
   }
   worker->next_report = SteadySeconds() + options_.report_s;
-  if (orders.token < worker->report.token) return;
+  if (orders.fencing_token < worker->report.fencing_token) return;
   worker->lease_from = sent;
   Execute(worker, orders);
 }
 
 void LoopbackFleet::EndSession(Worker* worker) {
-  for (TaskReport& t : worker->report.tasks) {
-    if (t.state != TaskState::kExited) End(worker, &t, ExitWhy::kStopped);
+  for (TaskStatus& t : worker->report.tasks) {
+    if (t.state != TaskState::kExited) End(worker, &t, ExitReason::kStopped);
   }
   worker->report.tasks.clear();
-  ++worker->report.session;
+  ++worker->report.agent_epoch;
   worker->lease_from = SteadySeconds();
 }
 
@@ -289,11 +290,11 @@
     if (w->state == "starting" && now >= w->boots_at) Boot(w);
     if (w->state != "running") continue;
     if (now - w->lease_from > options_.lease_s) EndSession(w);
-    for (TaskReport& t : w->report.tasks) {
-      if (t.state != TaskState::kFetching || now < w->runs_at[t.task]) continue;
+    for (TaskStatus& t : w->report.tasks) {
+      if (t.state != TaskState::kFetching || now < w->runs_at[t.task_name]) continue;
       t.state = TaskState::kRunning;
       w->changed = true;
-      oracle_->Started(now, t.task, jobs_.at(JobOf(t.task)), name);
+      oracle_->Started(now, t.task_name, jobs_.at(JobOf(t.task_name)), name);
     }
     const bool due =
         now >= w->next_report || (w->changed && now - w->reported_at >= kLeastBetweenReports);
@@ -320,9 +321,9 @@
 
 bool LoopbackFleet::Runs(const std::string& task) const {
   return std::any_of(workers_.begin(), workers_.end(), [&task](const auto& entry) {
-    const std::vector<TaskReport>& tasks = entry.second->report.tasks;
-    return std::any_of(tasks.begin(), tasks.end(), [&task](const TaskReport& t) {
-      return t.task == task && t.state == TaskState::kRunning;
+    const std::vector<TaskStatus>& tasks = entry.second->report.tasks;
+    return std::any_of(tasks.begin(), tasks.end(), [&task](const TaskStatus& t) {
+      return t.task_name == task && t.state == TaskState::kRunning;
     });
   });
 }
--- a/tests/loopback_fleet.h
+++ b/tests/loopback_fleet.h
@@ -62,9 +62,9 @@
   void Boot(Worker* worker);
   void Remove(const std::string& machine, const char* state);
   void Handle(Worker* worker, const HttpMessage& request, const HttpServer::Reply& reply);
-  void Execute(Worker* worker, const WorkerOrders& orders);
+  void Execute(Worker* worker, const WorkerCommands& orders);
   void Launch(Worker* worker, const Command& command);
-  void End(Worker* worker, TaskReport* task, ExitWhy why);
+  void End(Worker* worker, TaskStatus* task, ExitReason why);
   void SendReport(Worker* worker);
   void Answered(Worker* worker, double sent, const HttpResult& result);
   // Its lease ran out.
--- a/tests/meeting_test.cc
+++ b/tests/meeting_test.cc
@@ -118,8 +118,8 @@
     for (int i = 1; i <= 6; ++i) {
       JobSpec s = c->Array(JobName(i), 4);
       s.zone = i % 3 == 0 ? "east" : "";
-      s.one_zone = i % 3 == 1;
-      s.apart = i % 3 == 2;
+      s.single_zone = i % 3 == 1;
+      s.anti_affinity = i % 3 == 2;
       arrays.push_back(s.id);
       c->Submit(s);
     }
@@ -178,10 +178,10 @@
       // From well before its end to well after it.
       c->Run(2.4 + 0.1 * i);
       c->Cancel(id);
-      c->AskOnce(UserOp::kGet, id);
-      c->AskOnce(UserOp::kSubmit, id);
+      c->AskOnce(JobOperation::kGet, id);
+      c->AskOnce(JobOperation::kSubmit, id);
       c->Run(1);
-      c->AskOnce(UserOp::kGet, id);
+      c->AskOnce(JobOperation::kGet, id);
     }
     c->Run(30);
     EXPECT_EQ(c->Broken(), "") << "seed " << seed;
@@ -411,11 +411,11 @@
     const double rate = StatusRequestsPerSecond(c->settings, c->tuning);
     size_t answered = 0;
     size_t refused = 0;
-    UserRequest ask;
-    ask.op = UserOp::kGet;
-    ask.id = "job-1";
+    JobRequest ask;
+    ask.operation = JobOperation::kGet;
+    ask.job_id = "job-1";
     for (int i = 0; i < static_cast<int>(rate * 3); ++i) {
-      c->node(node)->User(ask, [&](const UserResponse& r) {
+      c->node(node)->User(ask, [&](const JobResponse& r) {
         EXPECT_TRUE(r.status == 200 || r.retry_after_s > 0);
         ++(r.status == 200 ? answered : refused);
       });
--- a/tests/mix_test.cc
+++ b/tests/mix_test.cc
@@ -35,10 +35,10 @@
       if (Chance(0.3) && !jobs_.empty()) c_.Cancel(Any(jobs_));
       if (Chance(0.3) && !jobs_.empty()) {
         const std::string id = Any(jobs_);
-        if (c_.Accepted(id)) c_.AskOnce(UserOp::kSubmit, id);
+        if (c_.Accepted(id)) c_.AskOnce(JobOperation::kSubmit, id);
       }
       if (Chance(0.1)) c_.SubmitHopeless("job-9" + std::to_string(i));
-      if (Chance(0.1)) c_.AskOnce(UserOp::kGet, "job-8" + std::to_string(i));
+      if (Chance(0.1)) c_.AskOnce(JobOperation::kGet, "job-8" + std::to_string(i));
       Trouble();
     }
     c_.late_writes = 0;
@@ -98,18 +98,18 @@
     JobSpec s = Chance(0.3) ? c_.Service(id, 1 + static_cast<uint32_t>(Index(4)))
                             : c_.Array(id, 1 + static_cast<uint32_t>(Index(6)));
     if (Chance(0.3))
-      s.one_zone = true;
+      s.single_zone = true;
     else if (Chance(0.3))
-      s.apart = true;
+      s.anti_affinity = true;
     else if (Chance(0.2))
       s.zone = kZones[Index(3)];
-    if (Chance(0.3)) s.spot = true;
+    if (Chance(0.3)) s.spot_tolerant = true;
     if (Chance(0.4)) s.team = "red";
     // Drawn apart, so that the other draws of a seed stay what they were.
-    const bool gang = !s.service && s.tasks > 1 && gang_draws_() % 3 == 0;
+    const bool gang = !s.service && s.task_count > 1 && gang_draws_() % 3 == 0;
     if (gang) {
       s.gang = true;
-      s.tasks = std::min<uint32_t>(s.tasks, 4);
+      s.task_count = std::min<uint32_t>(s.task_count, 4);
     }
     jobs_.push_back(id);
     c_.run_s = Between(2, 60);
--- a/tests/oracle.cc
+++ b/tests/oracle.cc
@@ -25,8 +25,8 @@
   return sum;
 }
 
-void Oracle::Told(double now, double asked_at, UserOp op, const std::string& id,
-                  const UserResponse& r) {
+void Oracle::Told(double now, double asked_at, JobOperation op, const std::string& id,
+                  const JobResponse& r) {
   auto it = jobs_.find(id);
   const bool known = it != jobs_.end() && it->second.spec.has_value();
   if (!known) {
@@ -38,7 +38,7 @@
   Job& job = it->second;
   const bool refused = r.status == 400 || r.status == 422;
   auto before = [asked_at](double told_at) { return told_at >= 0 && told_at <= asked_at; };
-  if (before(job.accepted_at) && (r.status == 404 || (op == UserOp::kSubmit && refused))) {
+  if (before(job.accepted_at) && (r.status == 404 || (op == JobOperation::kSubmit && refused))) {
     Broke(now, "forgotten", id + " got " + std::to_string(r.status));
   }
   if (r.status != 200 && r.status != 201) return;
@@ -54,7 +54,7 @@
   }
   if (r.state == JobState::kDone) {
     if (job.done_at < 0) job.done_at = now;
-    if (job.done.size() < job.spec->tasks) Broke(now, "not_done", id);
+    if (job.done.size() < job.spec->task_count) Broke(now, "not_done", id);
   }
 }
 
@@ -62,8 +62,8 @@
   if (!job.spec->zone.empty() && job.spec->zone != zone) return false;
   size_t same = 0;
   for (const auto& [task, at] : job.on) same += at.zone == zone ? 1U : 0U;
-  if (job.spec->one_zone && same < job.on.size()) return false;
-  return !job.spec->apart || same + 1 <= (job.spec->tasks + 1) / 2;
+  if (job.spec->single_zone && same < job.on.size()) return false;
+  return !job.spec->anti_affinity || same + 1 <= (job.spec->task_count + 1) / 2;
 }
 
 void Oracle::Started(double now, double commanded_at, const std::string& id, uint32_t task,
@@ -79,9 +79,10 @@
   if (auto it = job.on.find(task); it != job.on.end()) {
     Broke(now, "ran_twice", name + ", also on " + it->second.machine);
   }
-  const bool type_ok = !spec.types || std::find(spec.types->begin(), spec.types->end(), at.type) !=
-                                          spec.types->end();
-  if (!type_ok || (at.spot && !spec.spot) || !ZoneAllows(job, at.zone)) {
+  const bool type_ok = !spec.allowed_types ||
+                       std::find(spec.allowed_types->begin(), spec.allowed_types->end(), at.type) !=
+                           spec.allowed_types->end();
+  if (!type_ok || (at.spot && !spec.spot_tolerant) || !ZoneAllows(job, at.zone)) {
     Broke(now, "wrong_place", name);
   }
   if (job.cancelled_at >= 0 && commanded_at > job.cancelled_at) {
@@ -114,7 +115,7 @@
 bool Oracle::FitsSomewhere(const Job& job, const std::vector<Place>& open) const {
   const JobSpec& spec = *job.spec;
   // A gang needs room for all its tasks that are not there, and within the limit.
-  const size_t together = spec.gang ? spec.tasks - job.on.size() : 1;
+  const size_t together = spec.gang ? spec.task_count - job.on.size() : 1;
   for (const Team& team : teams_) {
     if (team.name == spec.team && team.cores_max > 0 &&
         TeamCores(team.name) + spec.cores * static_cast<double>(together) > team.cores_max + kEps) {
@@ -123,9 +124,10 @@
   }
   if (spec.gang) return GangFits(job, open, together);
   return std::any_of(open.begin(), open.end(), [&](const Place& p) {
-    const bool type_ok = !spec.types || std::find(spec.types->begin(), spec.types->end(), p.type) !=
-                                            spec.types->end();
-    return type_ok && (!p.spot || spec.spot) && ZoneAllows(job, p.zone) &&
+    const bool type_ok =
+        !spec.allowed_types || std::find(spec.allowed_types->begin(), spec.allowed_types->end(),
+                                         p.type) != spec.allowed_types->end();
+    return type_ok && (!p.spot || spec.spot_tolerant) && ZoneAllows(job, p.zone) &&
            p.cores + kEps >= spec.cores && p.memory_gb + kEps >= spec.memory_gb;
   });
 }
@@ -134,19 +136,20 @@
   const JobSpec& spec = *job.spec;
   std::map<std::string, size_t> places;  // by zone
   for (const Place& p : open) {
-    const bool type_ok = !spec.types || std::find(spec.types->begin(), spec.types->end(), p.type) !=
-                                            spec.types->end();
-    if (!type_ok || (p.spot && !spec.spot) || !ZoneAllows(job, p.zone)) continue;
+    const bool type_ok =
+        !spec.allowed_types || std::find(spec.allowed_types->begin(), spec.allowed_types->end(),
+                                         p.type) != spec.allowed_types->end();
+    if (!type_ok || (p.spot && !spec.spot_tolerant) || !ZoneAllows(job, p.zone)) continue;
     const double fit = std::min(p.cores / spec.cores, p.memory_gb / spec.memory_gb);
     places[p.zone] += static_cast<size_t>(std::max(0.0, fit + kEps));
   }
   size_t all = 0;
   for (auto& [zone, count] : places) {
-    if (spec.one_zone && count >= together) return true;
-    if (spec.apart) count = std::min<size_t>(count, (spec.tasks + 1) / 2);
+    if (spec.single_zone && count >= together) return true;
+    if (spec.anti_affinity) count = std::min<size_t>(count, (spec.task_count + 1) / 2);
     all += count;
   }
-  return !spec.one_zone && all >= together;
+  return !spec.single_zone && all >= together;
 }
 void Oracle::Step(double now, const std::vector<Place>& open) {
   for (auto& [id, job] : jobs_) {
@@ -160,7 +163,8 @@
       job.reported = true;
       Broke(now, "forgotten", id + " is not answered for");
     }
-    const bool open_work = !job.cancel_asked && job.on.size() + job.done.size() < job.spec->tasks;
+    const bool open_work =
+        !job.cancel_asked && job.on.size() + job.done.size() < job.spec->task_count;
     // The time counts from the last start of one of its tasks.
     if (now < trouble_until_ || !open_work || !FitsSomewhere(job, open)) {
       job.could_run_since = -1;
--- a/tests/oracle.h
+++ b/tests/oracle.h
@@ -34,7 +34,8 @@
   void AskedHopeless(const std::string& id) { hopeless_.insert(id); }
   void CancelAsked(const std::string& id) { jobs_[id].cancel_asked = true; }
   // `asked_at`: what was told before it may not be older than what is told now.
-  void Told(double now, double asked_at, UserOp op, const std::string& id, const UserResponse& r);
+  void Told(double now, double asked_at, JobOperation op, const std::string& id,
+            const JobResponse& r);
   // What happens on machines. A task is there from its start until one of the others.
   // A start whose command was on its way when the user was told of the cancellation is
   // judged by the time it takes to be gone, one commanded later by that alone.
--- a/tests/oracle_test.cc
+++ b/tests/oracle_test.cc
@@ -13,7 +13,7 @@
   JobSpec s;
   s.id = "job-1";
   s.team = "blue";
-  s.tasks = tasks;
+  s.task_count = tasks;
   s.cores = 4;
   return s;
 }
@@ -22,8 +22,8 @@
   return {machine, "box", zone, false, 8, 64};
 }
 
-UserResponse Reply(int status, JobState state = JobState::kPending) {
-  UserResponse r;
+JobResponse Reply(int status, JobState state = JobState::kPending) {
+  JobResponse r;
   r.status = status;
   r.state = state;
   return r;
@@ -33,7 +33,7 @@
 struct Watched : Oracle {
   explicit Watched(const JobSpec& spec = Spec()) : Oracle({{"blue", 0, 8, 0, 0}}, 40) {
     Asked(spec);
-    Told(1, 0, UserOp::kSubmit, "job-1", Reply(201));
+    Told(1, 0, JobOperation::kSubmit, "job-1", Reply(201));
   }
   bool Broke(const std::string& rule) const {
     return broken().size() == 1 && broken()[0].starts_with(rule);
@@ -64,7 +64,7 @@
 
 TEST(Oracle, WrongPlace) {
   JobSpec types = Spec();
-  types.types = {"other"};
+  types.allowed_types = {"other"};
   JobSpec zone = Spec();
   zone.zone = "west";
   for (const JobSpec& spec : {types, zone}) {
@@ -78,14 +78,14 @@
   spot.Started(2, 2, "job-1", 0, place);
   EXPECT_TRUE(spot.Broke("wrong_place"));
   JobSpec together = Spec();
-  together.one_zone = true;
+  together.single_zone = true;
   JobSpec apart = Spec();
-  apart.apart = true;
+  apart.anti_affinity = true;
   for (const JobSpec& spec : {together, apart}) {
     Watched o(spec);
     o.Started(2, 2, "job-1", 0, At("m-1", "east"));
     EXPECT_TRUE(o.broken().empty());
-    o.Started(2, 2, "job-1", 1, At("m-2", spec.apart ? "east" : "west"));
+    o.Started(2, 2, "job-1", 1, At("m-2", spec.anti_affinity ? "east" : "west"));
     EXPECT_TRUE(o.Broke("wrong_place"));
   }
 }
@@ -94,7 +94,7 @@
   Watched on;
   on.Started(2, 2, "job-1", 0, At("m-1"));
   on.CancelAsked("job-1");
-  on.Told(10, 9, UserOp::kCancel, "job-1", Reply(200, JobState::kCancelled));
+  on.Told(10, 9, JobOperation::kCancel, "job-1", Reply(200, JobState::kCancelled));
   on.Step(49, {});
   EXPECT_TRUE(on.broken().empty());
   on.Step(51, {});
@@ -102,7 +102,7 @@
 
   Watched start;
   start.CancelAsked("job-1");
-  start.Told(10, 9, UserOp::kCancel, "job-1", Reply(200, JobState::kCancelled));
+  start.Told(10, 9, JobOperation::kCancel, "job-1", Reply(200, JobState::kCancelled));
   start.Started(12, 9, "job-1", 0, At("m-1"));  // was on its way
   EXPECT_TRUE(start.broken().empty());
   start.Started(12, 11, "job-1", 1, At("m-1"));
@@ -111,14 +111,14 @@
 
 TEST(Oracle, Forgotten) {
   Watched denied;
-  denied.Told(3, 2, UserOp::kGet, "job-1", Reply(404));
+  denied.Told(3, 2, JobOperation::kGet, "job-1", Reply(404));
   EXPECT_TRUE(denied.Broke("forgotten"));
   Watched refused;
-  refused.Told(3, 2, UserOp::kSubmit, "job-1", Reply(422));
+  refused.Told(3, 2, JobOperation::kSubmit, "job-1", Reply(422));
   EXPECT_TRUE(refused.Broke("forgotten"));
   Watched silent;
   silent.TroubleUntil(100);
-  silent.Told(110, 109, UserOp::kGet, "job-1", Reply(503));
+  silent.Told(110, 109, JobOperation::kGet, "job-1", Reply(503));
   silent.Step(174, {});
   EXPECT_TRUE(silent.broken().empty());
   silent.Step(176, {});
@@ -127,16 +127,16 @@
 
 TEST(Oracle, Invented) {
   Watched o;
-  o.Told(3, 2, UserOp::kGet, "job-7", Reply(404));
+  o.Told(3, 2, JobOperation::kGet, "job-7", Reply(404));
   EXPECT_TRUE(o.broken().empty());
-  o.Told(3, 2, UserOp::kGet, "job-7", Reply(200));
+  o.Told(3, 2, JobOperation::kGet, "job-7", Reply(200));
   EXPECT_TRUE(o.Broke("invented"));
 }
 
 TEST(Oracle, NotDone) {
   Watched o;
   o.Ended(2, "job-1", 0, "m-1", true);
-  o.Told(3, 2, UserOp::kGet, "job-1", Reply(200, JobState::kDone));
+  o.Told(3, 2, JobOperation::kGet, "job-1", Reply(200, JobState::kDone));
   EXPECT_TRUE(o.Broke("not_done"));
 }
 
@@ -144,19 +144,19 @@
   Watched done;
   done.Ended(2, "job-1", 0, "m-1", true);
   done.Ended(2, "job-1", 1, "m-1", true);
-  done.Told(3, 2, UserOp::kGet, "job-1", Reply(200, JobState::kDone));
+  done.Told(3, 2, JobOperation::kGet, "job-1", Reply(200, JobState::kDone));
   // Asked before the other was told: the answers crossed on their way.
-  done.Told(4, 2, UserOp::kGet, "job-1", Reply(200, JobState::kRunning));
+  done.Told(4, 2, JobOperation::kGet, "job-1", Reply(200, JobState::kRunning));
   EXPECT_TRUE(done.broken().empty());
-  done.Told(5, 4, UserOp::kGet, "job-1", Reply(200, JobState::kRunning));
+  done.Told(5, 4, JobOperation::kGet, "job-1", Reply(200, JobState::kRunning));
   EXPECT_TRUE(done.Broke("went_back"));
   Watched unasked;
-  unasked.Told(3, 2, UserOp::kGet, "job-1", Reply(200, JobState::kCancelled));
+  unasked.Told(3, 2, JobOperation::kGet, "job-1", Reply(200, JobState::kCancelled));
   EXPECT_TRUE(unasked.Broke("went_back"));
   Watched cancelled;
   cancelled.CancelAsked("job-1");
-  cancelled.Told(3, 2, UserOp::kCancel, "job-1", Reply(200, JobState::kCancelled));
-  cancelled.Told(5, 4, UserOp::kGet, "job-1", Reply(200, JobState::kPending));
+  cancelled.Told(3, 2, JobOperation::kCancel, "job-1", Reply(200, JobState::kCancelled));
+  cancelled.Told(5, 4, JobOperation::kGet, "job-1", Reply(200, JobState::kPending));
   EXPECT_TRUE(cancelled.Broke("went_back"));
 }
 
@@ -164,13 +164,13 @@
   Watched o;
   o.TroubleUntil(10);
   for (const double t : Steps(10, 75, 5)) {
-    o.Told(t, t, UserOp::kGet, "job-1", Reply(200));
+    o.Told(t, t, JobOperation::kGet, "job-1", Reply(200));
     o.Step(t, {At("m-1")});
   }
   // No room for a moment: the time counts anew.
   o.Step(75, {});
   for (const double t : Steps(75, 166, 5)) {
-    o.Told(t, t, UserOp::kGet, "job-1", Reply(200));
+    o.Told(t, t, JobOperation::kGet, "job-1", Reply(200));
     o.Step(t, {At("m-1")});
   }
   EXPECT_TRUE(o.broken().empty());
@@ -181,10 +181,10 @@
 TEST(Oracle, AcceptedThoughItCanNotRun) {
   Oracle o({{"blue", 0, 8, 0, 0}}, 40);
   o.AskedHopeless("job-9");
-  o.Told(1, 0, UserOp::kSubmit, "job-9", Reply(503));
-  o.Told(2, 1, UserOp::kSubmit, "job-9", Reply(422));
+  o.Told(1, 0, JobOperation::kSubmit, "job-9", Reply(503));
+  o.Told(2, 1, JobOperation::kSubmit, "job-9", Reply(422));
   EXPECT_TRUE(o.broken().empty());
-  o.Told(3, 2, UserOp::kSubmit, "job-9", Reply(201));
+  o.Told(3, 2, JobOperation::kSubmit, "job-9", Reply(201));
   EXPECT_EQ(o.broken().size(), 1U);
 }
 
--- a/tests/placer_test.cc
+++ b/tests/placer_test.cc
@@ -23,13 +23,13 @@
   auto& a = w.Machine("m-1", "east");
   auto& b = w.Machine("m-2", "west");
   JobSpec apart = w.Service("job-1", 3);
-  apart.apart = true;
+  apart.anti_affinity = true;
   w.Submit(apart);
   w.Pass(1);
   EXPECT_EQ(a.started.size() + b.started.size(), 3U);
   EXPECT_LE(std::max(a.started.size(), b.started.size()), 2U);
   JobSpec one = w.Service("job-2", 3, 1);
-  one.one_zone = true;
+  one.single_zone = true;
   w.Submit(one);
   w.Pass(1);
   const auto on_a = std::count_if(a.started.begin(), a.started.end(),
@@ -111,12 +111,12 @@
   w.Pass(12);
   w.Submit(w.Array("job-4", 1));  // of blue, the last that its guarantee covers
   w.Pass(0.5);
-  a.End("job-1/0", ExitWhy::kDone);
+  a.End("job-1/0", ExitReason::kDone);
   w.Pass(6);
   EXPECT_EQ(a.Count("job-2"), 1U);
   EXPECT_EQ(a.Count("job-4"), 0U);
   // Once only: the next place is the guaranteed job's again.
-  a.End("job-3/0", ExitWhy::kDone);
+  a.End("job-3/0", ExitReason::kDone);
   w.Pass(2);
   EXPECT_EQ(a.Count("job-4"), 1U);
   EXPECT_EQ(a.Count("job-2"), 1U);
@@ -162,11 +162,11 @@
   auto& a = w.Machine("m-1", "east");
   JobSpec small = w.Array("job-1", 4);
   small.priority = Priority::kIdle;
-  small.estimate_s = 5;
+  small.estimated_runtime_s = 5;
   w.Submit(small);
   w.Pass(1);
   JobSpec large = w.Array("job-2", 40);
-  large.estimate_s = 500;
+  large.estimated_runtime_s = 500;
   w.Submit(large);
   w.Pass(w.tuning.preempt_after_s + 3);
   EXPECT_EQ(a.started.size(), 4U);
@@ -213,7 +213,7 @@
 TEST(Rentals, AListOlderThanTheTermAddsNoMachines) {
   World w;
   w.cloud.refuse = true;
-  ListedMachine row;
+  CloudInstance row;
   row.name = "m-7";
   row.type = "box";
   row.zone = "east";
--- a/tests/state_limits_test.cc
+++ b/tests/state_limits_test.cc
@@ -77,7 +77,8 @@
   w.Pass(10);
   EXPECT_TRUE(w.EachOnce());
   EXPECT_LE(w.Largest(), kSmallValue);
-  for (const Txn& txn : w.state.committed) EXPECT_LE(txn.writes.size(), w.limits.txn_ops);
+  for (const Transaction& txn : w.state.committed)
+    EXPECT_LE(txn.mutations.size(), w.limits.txn_ops);
 }
 
 // A leader may end at any moment; the next one reads the same pages, of whatever version it is.
@@ -142,9 +143,9 @@
   for (int i = 0; i < 10; ++i) store.Add(R"({"row":1})", 800, WriteUrgency::kNow);
   w.Pass(2);
   size_t writes = 0;
-  for (const Txn& txn : w.state.committed) {
-    EXPECT_LE(txn.writes.size(), w.limits.txn_ops);
-    writes += txn.writes.size();
+  for (const Transaction& txn : w.state.committed) {
+    EXPECT_LE(txn.mutations.size(), w.limits.txn_ops);
+    writes += txn.mutations.size();
   }
   EXPECT_EQ(writes, 10U);
 }
@@ -235,7 +236,7 @@
     ASSERT_EQ(w.Submit(w.Array("job-" + std::to_string(i), 1)).status, 201);
   }
   w.Pass(20);  // hints are written too
-  ASSERT_EQ(w.Ask(UserOp::kCancel, "job-7").state, JobState::kCancelled);
+  ASSERT_EQ(w.Ask(JobOperation::kCancel, "job-7").state, JobState::kCancelled);
   size_t largest = 0;
   for (const auto& [key, entry] : w.state.keys) largest = std::max(largest, entry.value.size());
   ASSERT_GT(largest, 4096U);
@@ -246,7 +247,7 @@
   w.state.value_limit = 2048;
   w.state.ops_limit = 4;
   ASSERT_EQ(w.Submit(w.Array("job-100", 1)).status, 201);
-  ASSERT_EQ(w.Ask(UserOp::kCancel, "job-8").state, JobState::kCancelled);
+  ASSERT_EQ(w.Ask(JobOperation::kCancel, "job-8").state, JobState::kCancelled);
   w.Pass(20);
   EXPECT_EQ(w.state.too_large, 0);
   EXPECT_EQ(w.state.too_many_ops, 0);
@@ -254,28 +255,29 @@
   w.Lead();
   for (int i = 0; i < 40; ++i) {
     const std::string id = "job-" + std::to_string(i);
-    EXPECT_EQ(w.Ask(UserOp::kGet, id).status, 200) << id;
+    EXPECT_EQ(w.Ask(JobOperation::kGet, id).status, 200) << id;
   }
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-7").state, JobState::kCancelled);
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-8").state, JobState::kCancelled);
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-100").status, 200);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-7").state, JobState::kCancelled);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-8").state, JobState::kCancelled);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-100").status, 200);
 }
 
 TEST(StateLimits, AJobThatOnlyTheFormerLimitsCouldHoldStillEnds) {
   World w;
   w.Lead();
   JobSpec large = w.Array("job-1", 1);
-  large.types.emplace();
-  large.types->push_back("box");
-  for (int i = 0; i < 30; ++i) large.types->push_back(std::string(100, 'a') + std::to_string(i));
+  large.allowed_types.emplace();
+  large.allowed_types->push_back("box");
+  for (int i = 0; i < 30; ++i)
+    large.allowed_types->push_back(std::string(100, 'a') + std::to_string(i));
   ASSERT_EQ(w.Submit(large).status, 201);
   w.settings.state_kept.value_kb = 2;
   w.Lead();
   w.Pass(5);
   w.state.value_limit = 2048;
-  EXPECT_EQ(w.Ask(UserOp::kCancel, "job-1").state, JobState::kCancelled);
+  EXPECT_EQ(w.Ask(JobOperation::kCancel, "job-1").state, JobState::kCancelled);
   w.Lead();
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-1").state, JobState::kCancelled);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").state, JobState::kCancelled);
   large.id = "job-2";
   EXPECT_EQ(w.Submit(large).status, 422);
 }
--- a/tests/takeover_test.cc
+++ b/tests/takeover_test.cc
@@ -16,7 +16,7 @@
   w.Lead();
   w.Pass(5);
   EXPECT_EQ(m.started.size(), 2U);
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-1").running, 2U);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").tasks_running, 2U);
 }
 
 TEST(Takeover, ASilentMachineKeepsItsTasksFromStartingElsewhere) {
@@ -86,7 +86,7 @@
   auto& a = w.Machine("m-1", "east");
   auto& b = w.Machine("m-2", "east");
   JobSpec s = w.Array("job-1", 6);  // four on one, two on the other
-  s.one_zone = true;
+  s.single_zone = true;
   w.Submit(s);
   w.Pass(1);
   ASSERT_EQ(a.started.size() + b.started.size(), 6U);
@@ -96,8 +96,8 @@
   w.Lead();
   w.Pass(1);
   // Those that are known end without success: the rest alone tells the zone.
-  for (const std::string& task : b.started) b.End(task, ExitWhy::kStopped);
-  b.report.notice_s = 30;  // gets nothing new
+  for (const std::string& task : b.started) b.End(task, ExitReason::kStopped);
+  b.report.preemption_notice_s = 30;  // gets nothing new
   w.Pass(3);
   EXPECT_TRUE(c.started.empty());
   w.cloud.out = false;
@@ -114,7 +114,7 @@
   w.Pass(1);
   ASSERT_TRUE(a.Has("job-1/0"));
   auto& b = w.Machine("m-2", "east");
-  b.report.tasks.push_back({"job-1/0", 7, TaskState::kExited, ExitWhy::kStopped, false});
+  b.report.tasks.push_back({"job-1/0", 7, TaskState::kExited, ExitReason::kStopped, false});
   a.silent = true;
   w.Lead();
   w.Pass(5);
@@ -149,12 +149,12 @@
   for (int round = 0; round < 40; ++round) {
     w.Pass(1);
     for (FakeWorker* m : all) {
-      for (TaskReport& t : m->report.tasks) m->End(t.task, ExitWhy::kDone);
+      for (TaskStatus& t : m->report.tasks) m->End(t.task_name, ExitReason::kDone);
     }
   }
   EXPECT_EQ(w.state.too_large, 0);
   for (int i = 1; i <= 24; ++i) {
-    EXPECT_EQ(w.Ask(UserOp::kGet, "job-" + std::to_string(i)).state, JobState::kDone) << i;
+    EXPECT_EQ(w.Ask(JobOperation::kGet, "job-" + std::to_string(i)).state, JobState::kDone) << i;
   }
 }
 
@@ -173,8 +173,8 @@
   w.Submit(w.Service("job-2", 1));
   w.Pass(1);
   ASSERT_TRUE(held.Has("job-2/0"));
-  w.Ask(UserOp::kCancel, "job-1");
-  w.Ask(UserOp::kCancel, "job-2");
+  w.Ask(JobOperation::kCancel, "job-1");
+  w.Ask(JobOperation::kCancel, "job-2");
   w.Pass(w.tuning.save_s * 4);
   for (int i = 0; i < 2; ++i) {  // known to the one after the next, too
     w.Lead();
@@ -217,7 +217,7 @@
   ASSERT_TRUE(a.Has("job-1/0") && a.Has("job-2/0"));
   a.unsent = true;  // reached by answers to its reports only
   w.Lead();
-  EXPECT_EQ(w.Ask(UserOp::kCancel, "job-1").state, JobState::kCancelled);
+  EXPECT_EQ(w.Ask(JobOperation::kCancel, "job-1").state, JobState::kCancelled);
   w.ReportNow(&a);
   EXPECT_FALSE(a.Has("job-1/0"));
   EXPECT_TRUE(a.Has("job-2/0"));
--- a/tests/trouble_test.cc
+++ b/tests/trouble_test.cc
@@ -16,8 +16,8 @@
 
 // Its lease ran out: it killed and forgot its tasks.
 void NextSession(FakeWorker* w) {
-  ++w->report.session;
-  w->report.seq = 0;
+  ++w->report.agent_epoch;
+  w->report.sequence = 0;
   w->report.tasks.clear();
 }
 
@@ -133,14 +133,14 @@
       west.push_back(&Machine("m-2" + std::to_string(i), "west"));
     }
     JobSpec spec = Service("job-1", replicas);
-    spec.apart = true;
+    spec.anti_affinity = true;
     Submit(spec);
     Pass(3);
   }
   size_t In(const std::vector<FakeWorker*>& zone) const {
     size_t n = 0;
     for (const FakeWorker* m : zone) {
-      for (const TaskReport& t : m->report.tasks) n += t.state == TaskState::kRunning ? 1 : 0;
+      for (const TaskStatus& t : m->report.tasks) n += t.state == TaskState::kRunning ? 1 : 0;
     }
     return n;
   }
@@ -232,15 +232,15 @@
   FakeWorker& m = *w.east[0];
   m.silent = false;
   w.state.refuse = true;
-  ++m.report.seq;
+  ++m.report.sequence;
   EXPECT_EQ(w.leader->OnReport(m.report).status, 503);
   w.Pass(1);
-  ++m.report.seq;
+  ++m.report.sequence;
   EXPECT_EQ(w.leader->OnReport(m.report).status, 503);
   w.state.refuse = false;
   w.Cut(&w.east, false);
   w.Pass(1);
-  ++m.report.seq;
+  ++m.report.sequence;
   EXPECT_EQ(w.leader->OnReport(m.report).status, 200);
   for (const auto& [key, entry] : w.state.keys) {
     EXPECT_EQ(entry.value.find("\"u\":"), std::string::npos) << entry.value;
@@ -265,7 +265,7 @@
   w.Pass(1);
   ASSERT_TRUE(a.Has("job-1/0"));
   auto& b = w.Machine("m-2", "east");
-  const Report copy = a.report;
+  const Heartbeat copy = a.report;
   a.silent = true;
   w.cloud.out = true;  // it can't be returned: its lease alone tells
   for (int i = 0; i < 26; ++i) {
@@ -281,8 +281,8 @@
   w.cloud.refuse = true;
   w.Lead();
   auto& a = w.Machine("m-1", "east");
-  ++a.report.seq;
-  const Report copy = a.report;  // before anything ran there
+  ++a.report.sequence;
+  const Heartbeat copy = a.report;  // before anything ran there
   w.Submit(w.Service("job-1", 1));
   w.Pass(1);
   ASSERT_TRUE(a.Has("job-1/0"));
@@ -301,14 +301,14 @@
   w.tuning.plan_s = 0.2;
   w.Lead();
   w.workers.at["m-1:1"].silent = true;
-  Report copy;
+  Heartbeat copy;
   copy.machine = "m-1";
   copy.endpoint = "m-1:1";
   copy.type = "box";
   copy.zone = "east";
-  copy.session = 1;
-  copy.seq = 90;
-  copy.token = (w.leader->term() - 1) << kTermShift;
+  copy.agent_epoch = 1;
+  copy.sequence = 90;
+  copy.fencing_token = (w.leader->term() - 1) << kTermShift;
   w.leader->OnReport(copy);
   w.Submit(w.Service("job-1", 1));
   w.clock.now += 0.25;
@@ -328,9 +328,9 @@
   w.Submit(w.Service("job-1", 1));
   w.Pass(30);
   ASSERT_EQ(a.started.size(), 1U);
-  a.report.session = 1;
-  a.report.seq = 0;
-  a.report.token = 0;
+  a.report.agent_epoch = 1;
+  a.report.sequence = 0;
+  a.report.fencing_token = 0;
   a.report.tasks.clear();
   w.Pass(3);
   EXPECT_EQ(a.started.size(), 2U);
@@ -344,20 +344,20 @@
   auto& a = w.Machine("m-1", "east");
   w.Submit(w.Service("job-1", 1));
   w.Pass(1);
-  Report odd = a.report;
-  odd.seq += 1000;
+  Heartbeat odd = a.report;
+  odd.sequence += 1000;
   odd.tasks.clear();
-  odd.token = UINT64_MAX;  // no controller gave it: our lease is trusted
+  odd.fencing_token = UINT64_MAX;  // no controller gave it: our lease is trusted
   w.leader->OnReport(odd);
   EXPECT_FALSE(w.deposed);
-  odd.token = a.report.token;
+  odd.fencing_token = a.report.fencing_token;
   odd.zone = "west";
   w.leader->OnReport(odd);
   w.Pass(1);
   EXPECT_EQ(a.started.size(), 1U);
   EXPECT_EQ(w.leader->implausible_reports(), 2U);
   w.lease.until = w.clock.now - 1;
-  odd.token = (w.leader->term() + 1) << kTermShift;
+  odd.fencing_token = (w.leader->term() + 1) << kTermShift;
   w.leader->OnReport(odd);
   EXPECT_TRUE(w.deposed);
 }
@@ -412,7 +412,7 @@
   w.Pass(3);
   EXPECT_EQ(w.leader->book().live().size(), 80U);
   EXPECT_EQ(a.started.size(), 80U);
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-7").running, 1U);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-7").tasks_running, 1U);
 }
 
 TEST(Forgotten, WhatAnUnreadablePageHeldIsNotDenied) {
@@ -425,7 +425,7 @@
   }
   w.Lead();
   w.Pass(3);
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-1").status, 503);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").status, 503);
   EXPECT_EQ(w.Submit(w.Array("job-2", 1)).status, 201);
 }
 
@@ -456,7 +456,7 @@
   JobSpec idle = w.Array("job-9999", 8);
   idle.team = "red";
   idle.priority = Priority::kIdle;
-  idle.estimate_s = 500;
+  idle.estimated_runtime_s = 500;
   w.Submit(w.Array("job-0", 4));
   w.Pass(1);
   w.Submit(idle);
@@ -465,7 +465,7 @@
     const std::string now = "job-" + std::to_string(i);
     w.Submit(w.Array(now, 4));
     const std::string before = "job-" + std::to_string(i - 1);
-    for (int t = 0; t < 4; ++t) a.End(before + "/" + std::to_string(t), ExitWhy::kDone);
+    for (int t = 0; t < 4; ++t) a.End(before + "/" + std::to_string(t), ExitReason::kDone);
     w.Pass(2);
     if (i * 2 < w.tuning.passed_over_s - 4) {
       ASSERT_EQ(Started(a, "job-9999"), 0U) << i;
@@ -568,20 +568,20 @@
     auto& good = w.workers.at["m-1:1"];
     // The replica on the good machine that is listed last moves to the bad one, and fails.
     const std::string task = good.Has("job-1/1") ? "job-1/1" : "job-1/0";
-    if (good.Count("job-1") == 2) good.End(task, ExitWhy::kError);
+    if (good.Count("job-1") == 2) good.End(task, ExitReason::kError);
     for (const char* id : {"job-1/0", "job-1/1"}) {
-      if (bad.Has(id)) bad.End(id, ExitWhy::kError);
+      if (bad.Has(id)) bad.End(id, ExitReason::kError);
     }
     w.Pass(1);
     for (const char* id : {"job-1/0", "job-1/1"}) {
-      if (bad.Has(id)) bad.End(id, ExitWhy::kError);
+      if (bad.Has(id)) bad.End(id, ExitReason::kError);
     }
     w.Pass(1);
   }
   const JobIdx job = w.leader->book().Find("job-1");
   ASSERT_GE(w.leader->book()[job].fail_streak, 3U);
   w.Pass(15);  // sooner than the failures are forgotten
-  EXPECT_EQ(w.Ask(UserOp::kGet, "job-1").running, 2U);
+  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").tasks_running, 2U);
   w.Pass(45);
   EXPECT_EQ(w.leader->book()[job].fail_streak, 0U);
 }
--- a/tests/user_requests_test.cc
+++ b/tests/user_requests_test.cc
@@ -75,11 +75,11 @@
 // Submits a job of one task through the node.
 std::shared_ptr<Asked> SubmitThrough(Cluster* c, size_t node, const std::string& id) {
   auto asked = std::make_shared<Asked>();
-  UserRequest request;
-  request.op = UserOp::kSubmit;
-  request.id = id;
+  JobRequest request;
+  request.operation = JobOperation::kSubmit;
+  request.job_id = id;
   request.job = c->Array(id, 1);
-  c->node(node)->User(request, [c, asked, from = c->now()](const UserResponse& r) {
+  c->node(node)->User(request, [c, asked, from = c->now()](const JobResponse& r) {
     EXPECT_EQ(asked->status, 0) << "answered twice";
     asked->status = r.status;
     asked->error = r.error;
--- a/tests/wire_test.cc
+++ b/tests/wire_test.cc
@@ -98,7 +98,7 @@
   std::string id;
   ASSERT_EQ(ParseJob(kJob, &id, &job), "");
   EXPECT_EQ(id, "job-000412");
-  EXPECT_EQ(job.tasks, 16U);
+  EXPECT_EQ(job.task_count, 16U);
   EXPECT_EQ(job.priority, Priority::kUrgent);
   EXPECT_TRUE(job.zone.empty());
   rapidjson::StringBuffer buffer;
@@ -106,9 +106,9 @@
   WriteJob(w, job);
   JobSpec again;
   ASSERT_EQ(ParseJob(buffer.GetString(), &id, &again), "");
-  EXPECT_EQ(again.types, job.types);
+  EXPECT_EQ(again.allowed_types, job.allowed_types);
   EXPECT_EQ(again.deadline_s, job.deadline_s);
-  EXPECT_EQ(again.checkpoint_s, 30);
+  EXPECT_EQ(again.checkpoint_interval_s, 30);
 }
 
 TEST(JobCodec, RefusesWhatIsNoJob) {
@@ -152,70 +152,71 @@
       R"({"cubierta":"m-1","endpoint":"10.1.0.2:9000","casco":"g8","muelle":"a","prestados":true,
 "guardia":1,"correlativo":88,"mando":18446744073709551615,"aviso_s":null,
 "faenas":[{"faena":"job-1/3","intento":2,"estado":"ended","motivo":"done"}]})";
-  Report r;
-  ASSERT_TRUE(DecodeReport(text, &r));
-  EXPECT_EQ(r.token, UINT64_MAX);
-  EXPECT_EQ(r.tasks[0].why, ExitWhy::kDone);
+  Heartbeat r;
+  ASSERT_TRUE(DecodeHeartbeat(text, &r));
+  EXPECT_EQ(r.fencing_token, UINT64_MAX);
+  EXPECT_EQ(r.tasks[0].exit_reason, ExitReason::kDone);
   for (const auto& [from, to] : std::vector<std::pair<std::string, std::string>>{
            {"\"m-1\"", "1"}, {"88", "-88"}, {"\"ended\"", "\"sleeping\""}, {"[{", "{"}}) {
     std::string bad = text;
     bad.replace(bad.find(from), from.size(), to);
-    Report out;
-    EXPECT_FALSE(DecodeReport(bad, &out)) << to;
+    Heartbeat out;
+    EXPECT_FALSE(DecodeHeartbeat(bad, &out)) << to;
   }
 }
 
 TEST(MeshCodec, CarriesFramesAndRefusesNoise) {
-  MeshFrame frame;
+  PeerFrame frame;
   frame.id = 7;
   frame.target = "n1";
-  UserRequest ask;
-  ask.op = UserOp::kSubmit;
-  ask.id = "job-000412";
-  ASSERT_EQ(ParseJob(kJob, &ask.id, &ask.job), "");
+  JobRequest ask;
+  ask.operation = JobOperation::kSubmit;
+  ask.job_id = "job-000412";
+  ASSERT_EQ(ParseJob(kJob, &ask.job_id, &ask.job), "");
   frame.body = ask;
   std::string bytes;
   EncodeFrame(frame, &bytes);
-  MeshFrame out;
+  PeerFrame out;
   ASSERT_TRUE(DecodeFrame(std::string_view(bytes).substr(4), &out));
-  EXPECT_EQ(std::get<UserRequest>(out.body).job.types, ask.job.types);
+  EXPECT_EQ(std::get<JobRequest>(out.body).job.allowed_types, ask.job.allowed_types);
   EXPECT_FALSE(DecodeFrame("", &out));
   EXPECT_FALSE(DecodeFrame("1234567", &out));
   for (size_t i = 0; i + 4 < bytes.size(); ++i) {
     std::string noise = bytes.substr(4);
     noise[i] = static_cast<char>(noise[i] ^ 0xff);
-    MeshFrame any;
+    PeerFrame any;
     (void)DecodeFrame(noise, &any);  // must not crash
   }
 }
 
 // What a worker writes is read as it was, and so is what it is told.
 TEST(Wire, AWorkersSideReadsAndWritesTheSameMessages) {
-  Report report;
+  Heartbeat report;
   report.machine = "m-1";
   report.endpoint = "10.0.0.1:9";
   report.type = "box";
   report.zone = "east";
-  report.session = 2;
-  report.seq = 3;
-  report.token = 4;
-  report.notice_s = 5;
-  report.tasks = {{"job-1/0", 6, TaskState::kGathering, ExitWhy::kNone, false},
-                  {"job-1/1", 7, TaskState::kExited, ExitWhy::kIncomplete, true}};
-  Report back;
-  ASSERT_TRUE(DecodeReport(EncodeReport(report), &back));
-  EXPECT_EQ(EncodeReport(back), EncodeReport(report));
-  EXPECT_EQ(back.tasks[1].why, ExitWhy::kIncomplete);
-  WorkerOrders orders;
-  ASSERT_TRUE(DecodeOrders(
-      EncodeCommands(8, 9, {{CommandOp::kStop, "job-1/0", 6, 2.5}, {CommandOp::kForget, "j/1", 7}}),
+  report.agent_epoch = 2;
+  report.sequence = 3;
+  report.fencing_token = 4;
+  report.preemption_notice_s = 5;
+  report.tasks = {{"job-1/0", 6, TaskState::kWaitingForGang, ExitReason::kNone, false},
+                  {"job-1/1", 7, TaskState::kExited, ExitReason::kGangIncomplete, true}};
+  Heartbeat back;
+  ASSERT_TRUE(DecodeHeartbeat(EncodeHeartbeat(report), &back));
+  EXPECT_EQ(EncodeHeartbeat(back), EncodeHeartbeat(report));
+  EXPECT_EQ(back.tasks[1].exit_reason, ExitReason::kGangIncomplete);
+  WorkerCommands orders;
+  ASSERT_TRUE(DecodeCommands(
+      EncodeCommands(
+          8, 9, {{CommandOp::kStop, "job-1/0", 6, 2.5}, {CommandOp::kAcknowledgeExit, "j/1", 7}}),
       &orders));
-  EXPECT_EQ(orders.token, 8U);
-  EXPECT_EQ(orders.session, 9U);
+  EXPECT_EQ(orders.fencing_token, 8U);
+  EXPECT_EQ(orders.agent_epoch, 9U);
   ASSERT_EQ(orders.commands.size(), 2U);
-  EXPECT_EQ(orders.commands[0].grace_s, 2.5);
-  EXPECT_EQ(orders.commands[1].op, CommandOp::kForget);
-  EXPECT_FALSE(DecodeOrders("{}", &orders));
+  EXPECT_EQ(orders.commands[0].grace_period_s, 2.5);
+  EXPECT_EQ(orders.commands[1].operation, CommandOp::kAcknowledgeExit);
+  EXPECT_FALSE(DecodeCommands("{}", &orders));
 }
 
 }  // namespace
