--- a/src/app/controller.h
+++ b/src/app/controller.h
@@ -22,7 +22,7 @@
 namespace deckhall {
 
 struct ControllerPorts {
-  StatePort* state = nullptr;
+  KeyValueStore* state = nullptr;
   CloudPort* cloud = nullptr;
   WorkerPort* workers = nullptr;
   MeshTransport* links = nullptr;
--- a/src/app/drains_command.cc
+++ b/src/app/drains_command.cc
@@ -6,8 +6,8 @@
 #include <iostream>
 
 #include "net/loop.h"
-#include "state/row_store.h"
-#include "state/state_client.h"
+#include "state/key_value_client.h"
+#include "state/record_store.h"
 
 namespace deckhall {
 namespace {
@@ -80,21 +80,21 @@
 int PrintDrains(const Settings& settings) {
   Loop loop;
   const CommandClock clock;
-  StateClient state(&loop, &clock, settings.state, settings.state_kept.rps,
-                    settings.state_kept.write_rps);
+  KeyValueClient state(&loop, &clock, settings.state, settings.state_kept.rps,
+                       settings.state_kept.write_rps);
   DrainRecords records;
   bool complete = false;
   Timer timeout(&loop, [&loop] { loop.Stop(); });
   timeout.Start(kAnswerWithin);
   std::function<void(const std::string&)> list = [&](const std::string& after) {
-    state.List(std::string(RowStore::kPrefix), after, [&](const StateAnswer& answer) {
-      if (answer.outcome != StateOutcome::kOk) {
+    state.List(std::string(RecordStore::kPrefix), after, [&](const KeyValueResponse& answer) {
+      if (answer.status != KeyValueStatus::kOk) {
         loop.Stop();
         return;
       }
-      for (const KeyValue& row : answer.rows) ReadDrainRows(row.value, &records);
-      if (answer.truncated && !answer.rows.empty()) {
-        list(answer.rows.back().key);
+      for (const KeyValue& row : answer.entries) ReadDrainRows(row.value, &records);
+      if (answer.truncated && !answer.entries.empty()) {
+        list(answer.entries.back().key);
         return;
       }
       complete = true;
--- a/src/app/process.h
+++ b/src/app/process.h
@@ -9,7 +9,7 @@
 #include "cloud/cloud_client.h"
 #include "fleet/worker_client.h"
 #include "mesh/mesh_links.h"
-#include "state/state_client.h"
+#include "state/key_value_client.h"
 
 namespace deckhall {
 
@@ -31,7 +31,7 @@
   void Tick();
 
   SystemClock clock_;
-  StateClient state_;
+  KeyValueClient state_;
   CloudClient cloud_;
   WorkerClient workers_;
   MeshLinks links_;
--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr double kTimeout = 5.0;
-constexpr size_t kMaxAnswer = 2 << 20;
+constexpr size_t kMaxResponseBytes = 2 << 20;
 
 }  // namespace
 
@@ -16,7 +16,7 @@
     : clock_(clock),
       at_(std::move(at)),
       budget_(rps * 0.8, rps * 1.5),
-      http_(loop, 16, kMaxAnswer),
+      http_(loop, 16, kMaxResponseBytes),
       refuse_(loop, [this] {
         for (auto& done : std::exchange(refused_, {})) done(HttpResult());
       }) {}
--- a/src/cloud/rentals.cc
+++ b/src/cloud/rentals.cc
@@ -70,22 +70,22 @@
 
 // Room for what may still come.
 size_t MachineReserve(const Machine& m, const std::string& text) {
-  return text.size() + (m.endpoint.empty() ? 24 : 0) + (m.unanswered_since < 0 ? 20 : 0);
+  return text.size() + (m.endpoint.empty() ? 24 : 0) + (m.unrenewed_since_wall < 0 ? 20 : 0);
 }
 
 }  // namespace
 
-Rentals::Rentals(CloudPort* cloud, RowStore* store, Fleet* fleet, JobBook* book, const Clock* clock,
-                 uint64_t term, RentalOptions options)
+Rentals::Rentals(CloudPort* cloud, RecordStore* record_store, Fleet* fleet, JobStore* job_store,
+                 const Clock* clock, uint64_t term, RentalOptions options)
     : cloud_(cloud),
-      store_(store),
+      record_store_(record_store),
       fleet_(fleet),
-      book_(book),
+      job_store_(job_store),
       clock_(clock),
       term_(term),
       options_(options) {}
 
-bool Rentals::LoadRow(RowId row, const std::string& text) {
+bool Rentals::LoadRow(RecordId row, const std::string& text) {
   rapidjson::Document doc;
   if (!ParseJson(text, &doc) || !doc.IsObject()) return false;
   std::string name;
@@ -95,20 +95,20 @@
     return true;
   }
   if (JsonString(doc, "m", &name)) {
-    const MachIdx mi = fleet_->Add(name);
+    const MachineIndex mi = fleet_->Add(name);
     Machine& m = (*fleet_)[mi];
-    m.row = row;
+    m.record_id = row;
     std::string word;
     JsonString(doc, "e", &m.endpoint);
-    if (JsonString(doc, "c", &word)) m.type = book_->types.Add(word);
-    if (JsonString(doc, "z", &word)) m.zone = book_->zones.Add(word);
+    if (JsonString(doc, "c", &word)) m.type = job_store_->types.Add(word);
+    if (JsonString(doc, "z", &word)) m.zone = job_store_->zones.Add(word);
     JsonBool(doc, "sp", &m.spot);
-    JsonNumber(doc, "w", &m.rented_wall);
-    JsonNumber(doc, "u", &m.unanswered_since);
+    JsonNumber(doc, "w", &m.provisioned_at_wall);
+    JsonNumber(doc, "u", &m.unrenewed_since_wall);
     // Its address was durable before its first launch: without one it is empty.
-    m.may_hold = !m.endpoint.empty();
-    m.listed = true;
-    store_->Reserve(row, MachineReserve(m, text));
+    m.may_run_former_attempts = !m.endpoint.empty();
+    m.registered = true;
+    record_store_->Reserve(row, MachineReserve(m, text));
     return true;
   }
   if (JsonString(doc, "r", &name)) {
@@ -134,7 +134,7 @@
   types_ = std::move(types);
   type_of_.clear();
   for (const auto& t : types_) {
-    const uint32_t at = book_->types.Add(t.name);
+    const uint32_t at = job_store_->types.Add(t.name);
     if (at >= type_of_.size()) type_of_.resize(at + 1, nullptr);
     type_of_[at] = &t;
   }
@@ -144,8 +144,8 @@
     for (const auto& z : t.zones) {
       for (const bool spot : {false, true}) {
         Pool pool;
-        pool.type = book_->types.Add(t.name);
-        pool.zone = book_->zones.Add(z);
+        pool.type = job_store_->types.Add(t.name);
+        pool.zone = job_store_->zones.Add(z);
         pool.spot = spot;
         for (const Pool& old : pools_) {
           if (old.type == pool.type && old.zone == pool.zone && old.spot == spot) pool = old;
@@ -162,8 +162,8 @@
 }
 
 Pool* Rentals::PoolOf(const std::string& type, const std::string& zone, bool spot) {
-  const uint32_t t = book_->types.Find(type);
-  const uint32_t z = book_->zones.Find(zone);
+  const uint32_t t = job_store_->types.Find(type);
+  const uint32_t z = job_store_->zones.Find(zone);
   for (Pool& p : pools_) {
     if (p.type == t && p.zone == z && p.spot == spot) return &p;
   }
@@ -174,7 +174,8 @@
   const Pool& p = pools_[pool];
   int sum = 0;
   for (const auto& i : intents_) {
-    if (i->spot == p.spot && i->type == book_->types[p.type] && i->zone == book_->zones[p.zone]) {
+    if (i->spot == p.spot && i->type == job_store_->types[p.type] &&
+        i->zone == job_store_->zones[p.zone]) {
       sum += i->count;
     }
   }
@@ -205,14 +206,14 @@
   auto intent = std::make_unique<Intent>();
   // The term in the name: no other leader can ever use it again.
   intent->request = "r-" + std::to_string(term_) + "-" + std::to_string(next_request_++);
-  intent->type = book_->types[p.type];
-  intent->zone = book_->zones[p.zone];
+  intent->type = job_store_->types[p.type];
+  intent->zone = job_store_->zones[p.zone];
   intent->spot = p.spot;
   intent->count = count;
   spdlog::info("renting {} {}{} in {} ({}): {}", intent->count, intent->type,
                p.spot ? " (spot)" : "", intent->zone, intent->request, why);
   const std::string text = IntentText(*intent);
-  intent->row = store_->Add(text, text.size(), WriteUrgency::kNow);
+  intent->row = record_store_->Add(text, text.size(), WritePriority::kImmediate);
   intents_.push_back(std::move(intent));
 }
 
@@ -247,26 +248,26 @@
     }
   }
   for (const std::string& name : answer.machines) {
-    MachIdx mi = fleet_->Find(name);
-    if (mi == kNone) mi = fleet_->Add(name);
+    MachineIndex mi = fleet_->Find(name);
+    if (mi == kNoIndex) mi = fleet_->Add(name);
     Machine& m = (*fleet_)[mi];
-    if (m.type == kNone) {
-      m.type = book_->types.Add(intent.type);
-      m.zone = book_->zones.Add(intent.zone);
+    if (m.type == kNoIndex) {
+      m.type = job_store_->types.Add(intent.type);
+      m.zone = job_store_->zones.Add(intent.zone);
       m.spot = intent.spot;
-      m.rented_wall = clock_->Wall();
+      m.provisioned_at_wall = clock_->Wall();
     }
-    if (!m.may_hold && !m.up) m.accounted = true;
-    m.listed = true;
-    m.stale = true;
-    SaveMachine(mi, WriteUrgency::kNow);
+    if (!m.may_run_former_attempts && !m.up) m.reconciled = true;
+    m.registered = true;
+    m.capacity_stale = true;
+    SaveMachine(mi, WritePriority::kImmediate);
   }
-  store_->Remove(intent.row);
+  record_store_->Remove(intent.row);
   intents_.erase(it);
   fleet_->changed = true;
 }
 
-void Rentals::SaveMachine(MachIdx mi, WriteUrgency urgency) {
+void Rentals::SaveMachine(MachineIndex mi, WritePriority urgency) {
   Machine& m = (*fleet_)[mi];
   rapidjson::StringBuffer buffer;
   JsonWriter w(buffer);
@@ -274,54 +275,54 @@
   w.StartObject();
   PutString(w, "m", m.name);
   PutString(w, "e", m.endpoint);
-  if (m.type != kNone) PutString(w, "c", book_->types[m.type]);
-  if (m.zone != kNone) PutString(w, "z", book_->zones[m.zone]);
+  if (m.type != kNoIndex) PutString(w, "c", job_store_->types[m.type]);
+  if (m.zone != kNoIndex) PutString(w, "z", job_store_->zones[m.zone]);
   w.Key("sp");
   w.Bool(m.spot);
   w.Key("w");
-  w.Double(m.rented_wall);
-  if (m.unanswered_since >= 0) {
+  w.Double(m.provisioned_at_wall);
+  if (m.unrenewed_since_wall >= 0) {
     w.Key("u");
-    w.Double(m.unanswered_since);
+    w.Double(m.unrenewed_since_wall);
   }
   w.EndObject();
   std::string text(buffer.GetString(), buffer.GetSize());
   const size_t reserve = MachineReserve(m, text);
-  if (m.row == kNoRow) {
-    m.row = store_->Add(std::move(text), reserve, urgency);
+  if (m.record_id == kNoRecord) {
+    m.record_id = record_store_->Add(std::move(text), reserve, urgency);
   } else {
-    store_->Set(m.row, std::move(text), reserve, urgency);
+    record_store_->Update(m.record_id, std::move(text), reserve, urgency);
   }
 }
 
-MachIdx Rentals::Unexpected(const Heartbeat& r) {
-  const MachIdx mi = fleet_->Add(r.machine);
+MachineIndex Rentals::Unexpected(const Heartbeat& r) {
+  const MachineIndex mi = fleet_->Add(r.machine);
   Machine& m = (*fleet_)[mi];
-  m.type = book_->types.Add(r.type);
-  m.zone = book_->zones.Add(r.zone);
+  m.type = job_store_->types.Add(r.type);
+  m.zone = job_store_->zones.Add(r.zone);
   m.spot = r.spot;
   m.endpoint = r.endpoint;
-  m.rented_wall = clock_->Wall();
+  m.provisioned_at_wall = clock_->Wall();
   spdlog::info("machine {} ({} in {}{}) reports and was not expected", r.machine, r.type, r.zone,
                r.spot ? ", spot" : "");
   return mi;
 }
 
-void Rentals::Return(MachIdx mi, const char* why) {
+void Rentals::Return(MachineIndex mi, const char* why) {
   Machine& m = (*fleet_)[mi];
-  if (m.returning || m.gone) return;
-  m.returning = m.drain = true;
+  if (m.scaling_in || m.removed) return;
+  m.scaling_in = m.unschedulable = true;
   next_return_ = std::min(next_return_, clock_->Now());
   spdlog::info("returning machine {}: {}", m.name, why);
 }
 
 void Rentals::SendReturns() {
   std::vector<std::string> names;
-  std::vector<MachIdx> which;
-  for (MachIdx i : fleet_->active()) {
+  std::vector<MachineIndex> which;
+  for (MachineIndex i : fleet_->active()) {
     const Machine& m = (*fleet_)[i];
     if (names.size() >= kMostReturned) break;
-    if (!m.returning) continue;
+    if (!m.scaling_in) continue;
     names.push_back(m.name);
     which.push_back(i);
   }
@@ -332,11 +333,11 @@
     // More are waiting: what may run on them is held up until they are gone.
     next_return_ = clock_->Now() + (ok && which.size() == kMostReturned ? 0.05 : 0.5);
     if (!ok) return;
-    for (MachIdx i : which) {
+    for (MachineIndex i : which) {
       Machine& m = (*fleet_)[i];
       fleet_->MarkGone(i, "returned");
-      if (m.row != kNoRow) store_->Remove(m.row);
-      m.row = kNoRow;
+      if (m.record_id != kNoRecord) record_store_->Remove(m.record_id);
+      m.record_id = kNoRecord;
     }
   });
 }
@@ -351,10 +352,10 @@
     SetTypes(std::move(types));
     std::string text = TypesText(types_);
     const size_t reserve = text.size() + 64;
-    if (types_row_ == kNoRow) {
-      types_row_ = store_->Add(std::move(text), reserve, WriteUrgency::kLazy);
+    if (types_row_ == kNoRecord) {
+      types_row_ = record_store_->Add(std::move(text), reserve, WritePriority::kBackground);
     } else if (first) {
-      store_->Set(types_row_, std::move(text), reserve, WriteUrgency::kLazy);
+      record_store_->Update(types_row_, std::move(text), reserve, WritePriority::kBackground);
     }
     fleet_->changed = true;
   });
@@ -376,11 +377,11 @@
 
 void Rentals::Listed(const std::vector<CloudInstance>& rows) {
   for (const CloudInstance& row : rows) {
-    MachIdx mi = fleet_->Find(row.name);
-    if (mi == kNone) {
+    MachineIndex mi = fleet_->Find(row.name);
+    if (mi == kNoIndex) {
       if (row.state == InstanceState::kFailed) {
         mi = fleet_->Add(row.name);
-        (*fleet_)[mi].accounted = true;
+        (*fleet_)[mi].reconciled = true;
         Return(mi, "failed, and not known here");
         continue;
       }
@@ -392,20 +393,20 @@
       if (clock_->Now() - started_at_ < options_.list_lag_s * 2 + 1) continue;
       mi = fleet_->Add(row.name);
       Machine& m = (*fleet_)[mi];
-      m.type = book_->types.Add(row.type);
-      m.zone = book_->zones.Add(row.zone);
+      m.type = job_store_->types.Add(row.type);
+      m.zone = job_store_->zones.Add(row.zone);
       m.spot = row.spot;
-      m.rented_wall = clock_->Wall() - row.age_s;
+      m.provisioned_at_wall = clock_->Wall() - row.age_s;
       m.endpoint = "";
-      m.listed = true;
-      SaveMachine(mi, WriteUrgency::kLazy);
+      m.registered = true;
+      SaveMachine(mi, WritePriority::kBackground);
       spdlog::info("machine {} ({} in {}) is listed and was not expected: used", row.name, row.type,
                    row.zone);
       continue;
     }
     Machine& m = (*fleet_)[mi];
-    if (m.gone || m.returning) continue;
-    m.listed = true;
+    if (m.removed || m.scaling_in) continue;
+    m.registered = true;
     if (row.state == InstanceState::kFailed) {
       fleet_->LoseAll(mi, "the machine failed");
       fleet_->Account(mi);
@@ -419,7 +420,7 @@
   if (!trusted) return;
   for (auto& intent : intents_) {
     // Durable before the cloud hears of it, or its machines could be forgotten.
-    if (!intent->asked && now >= intent->retry_at && store_->Durable(intent->row)) {
+    if (!intent->asked && now >= intent->retry_at && record_store_->IsDurable(intent->row)) {
       Ask(intent.get());
     }
   }
--- a/src/cloud/rentals.h
+++ b/src/cloud/rentals.h
@@ -29,11 +29,11 @@
 
 class Rentals {
  public:
-  Rentals(CloudPort* cloud, RowStore* store, Fleet* fleet, JobBook* book, const Clock* clock,
-          uint64_t term, RentalOptions options);
+  Rentals(CloudPort* cloud, RecordStore* record_store, Fleet* fleet, JobStore* job_store,
+          const Clock* clock, uint64_t term, RentalOptions options);
 
   // Reads one row if it is one of ours.
-  bool LoadRow(RowId row, const std::string& text);
+  bool LoadRow(RecordId row, const std::string& text);
   // What was rented for an earlier leader is asked for once more, by name.
   void Start();
   void Tick(bool trusted);
@@ -48,11 +48,11 @@
   bool Renting() const { return !intents_.empty(); }
 
   void Rent(uint32_t pool, int count, const std::string& why);
-  void Return(MachIdx m, const char* why);
+  void Return(MachineIndex m, const char* why);
   // A machine reported that nobody knows.
-  MachIdx Unexpected(const Heartbeat& report);
+  MachineIndex Unexpected(const Heartbeat& report);
   // Keeps what is known of a machine; false until that is durable.
-  void SaveMachine(MachIdx m, WriteUrgency urgency);
+  void SaveMachine(MachineIndex m, WritePriority urgency);
 
  private:
   struct Intent {
@@ -61,7 +61,7 @@
     std::string zone;
     bool spot = false;
     int count = 0;
-    RowId row = kNoRow;
+    RecordId row = kNoRecord;
     bool asked = false;
     bool old = false;
     double retry_at = 0;
@@ -78,14 +78,14 @@
   Pool* PoolOf(const std::string& type, const std::string& zone, bool spot);
 
   CloudPort* cloud_;
-  RowStore* store_;
+  RecordStore* record_store_;
   Fleet* fleet_;
-  JobBook* book_;
+  JobStore* job_store_;
   const Clock* clock_;
   uint64_t term_;
   RentalOptions options_;
   std::vector<MachineType> types_;
-  RowId types_row_ = kNoRow;
+  RecordId types_row_ = kNoRecord;
   std::vector<const MachineType*> type_of_;  // by the book's name index
   std::vector<Pool> pools_;
   std::vector<std::unique_ptr<Intent>> intents_;
--- a/src/drain/disruption_ledger.cc
+++ b/src/drain/disruption_ledger.cc
@@ -4,9 +4,9 @@
 
 namespace deckhall {
 
-DisruptionLedger::DisruptionLedger(JobBook* book, Fleet* fleet, const Clock* clock,
+DisruptionLedger::DisruptionLedger(JobStore* job_store, Fleet* fleet, const Clock* clock,
                                    double overdue_s)
-    : book_(book), fleet_(fleet), clock_(clock), overdue_s_(overdue_s) {}
+    : job_store_(job_store), fleet_(fleet), clock_(clock), overdue_s_(overdue_s) {}
 
 void DisruptionLedger::Use(std::shared_ptr<const DisruptionPolicy> policy, bool confirmed) {
   confirmed_ = confirmed;
@@ -23,9 +23,9 @@
   std::map<std::pair<std::string, std::string>, std::deque<double>> stops;
   for (const auto& [key, at] : account_index_) stops[key] = std::move(accounts_[at].stops);
   // Only this term's first replicas are known never to have run.
-  std::map<JobIdx, Known> known = std::exchange(jobs_, {});
-  std::vector<std::pair<JobIdx, uint32_t>> ran;
-  std::vector<std::pair<JobIdx, uint32_t>> held;
+  std::map<JobIndex, Known> known = std::exchange(jobs_, {});
+  std::vector<std::pair<JobIndex, uint32_t>> ran;
+  std::vector<std::pair<JobIndex, uint32_t>> held;
   for (const auto& [j, job] : known) {
     for (uint32_t t = 0; t < job.count; ++t) {
       const uint32_t number = job.first + t;
@@ -49,7 +49,7 @@
   for (auto& [key, times] : stops) {
     if (!times.empty()) accounts_[AccountFor(key.first, key.second)].stops = std::move(times);
   }
-  for (JobIdx j : book_->live()) {
+  for (JobIndex j : job_store_->active_jobs()) {
     auto before = known.find(j);
     AddJob(j, first || (before != known.end() && before->second.may_have_run));
   }
@@ -79,9 +79,9 @@
   return out;
 }
 
-void DisruptionLedger::AddJob(JobIdx j, bool may_have_run) {
-  const Job& job = (*book_)[j];
-  if (!job.full || job.life != JobLife::kLive || jobs_.contains(j)) return;
+void DisruptionLedger::AddJob(JobIndex j, bool may_have_run) {
+  const Job& job = (*job_store_)[j];
+  if (!job.has_spec || job.lifecycle != JobLifecycle::kActive || jobs_.contains(j)) return;
   Known known;
   known.accounts = AccountsOf(job);
   if (job.spec.service) {
@@ -95,7 +95,7 @@
   jobs_[j] = std::move(known);
 }
 
-void DisruptionLedger::RemoveJob(JobIdx j) {
+void DisruptionLedger::RemoveJob(JobIndex j) {
   auto it = jobs_.find(j);
   if (it == jobs_.end()) return;
   const Known& known = it->second;
@@ -112,22 +112,22 @@
   jobs_.erase(it);
 }
 
-void DisruptionLedger::JobChanged(JobIdx j) {
+void DisruptionLedger::JobChanged(JobIndex j) {
   if (!active()) return;
-  if ((*book_)[j].life == JobLife::kLive) {
+  if ((*job_store_)[j].lifecycle == JobLifecycle::kActive) {
     AddJob(j, false);
   } else {
     RemoveJob(j);
   }
 }
 
-void DisruptionLedger::ReplicaChanged(JobIdx j, uint32_t task) {
+void DisruptionLedger::ReplicaChanged(JobIndex j, uint32_t task) {
   if (!active()) return;
   auto it = jobs_.find(j);
   if (it != jobs_.end() && task < it->second.count) changed_.add(it->second.first + task);
 }
 
-void DisruptionLedger::ArrayTaskStopped(JobIdx j) {
+void DisruptionLedger::ArrayTaskStopped(JobIndex j) {
   if (!active()) return;
   auto it = jobs_.find(j);
   if (it == jobs_.end()) return;
@@ -137,12 +137,13 @@
 }
 
 bool DisruptionLedger::InDoubt(const Machine& m) const {
-  return !m.accounted || m.cut || m.returning || m.notice_until >= 0 || m.fails > 0 ||
-         m.probe_fails > 0 || m.failing_since >= 0 || clock_->Now() - m.heard_at > overdue_s_;
+  return !m.reconciled || m.partitioned || m.scaling_in || m.preemption_at >= 0 ||
+         m.unreachable_count > 0 || m.probe_failures > 0 || m.unreachable_since >= 0 ||
+         clock_->Now() - m.last_heard_at > overdue_s_;
 }
 
 void DisruptionLedger::RefreshDoubts() {
-  for (MachIdx mi : fleet_->active()) {
+  for (MachineIndex mi : fleet_->active()) {
     const Machine& m = (*fleet_)[mi];
     const bool doubt = m.service_cores > 0 && InDoubt(m);
     if (doubt == doubtful_.contains(mi)) continue;
@@ -151,8 +152,8 @@
     } else {
       doubtful_.remove(mi);
     }
-    for (const PlacedAttempt& s : m.attempts) {
-      if (s.service && s.job != kNone) ReplicaChanged(s.job, s.task);
+    for (const TaskAttempt& s : m.attempts) {
+      if (s.service && s.job != kNoIndex) ReplicaChanged(s.job, s.task_index);
     }
   }
 }
@@ -186,14 +187,14 @@
 void DisruptionLedger::Look(uint32_t number) {
   ++steps_;
   const Replica replica = ReplicaOf(number);
-  if (replica.job == kNone) return;
+  if (replica.job == kNoIndex) return;
   const Known& known = jobs_.at(replica.job);
-  const Task& task = (*book_)[replica.job].tasks[replica.task];
-  const PlacedAttempt* attempt = nullptr;
+  const Task& task = (*job_store_)[replica.job].tasks[replica.task];
+  const TaskAttempt* attempt = nullptr;
   if (task.phase == TaskPhase::kPlaced) {
     attempt = fleet_->AttemptOf(task.machine, replica.job, replica.task, task.attempt);
   }
-  const bool runs = attempt != nullptr && !attempt->gone && attempt->keep &&
+  const bool runs = attempt != nullptr && !attempt->released && attempt->wanted &&
                     attempt->state == TaskState::kRunning && attempt->running_since >= 0;
   const double settled_at = runs ? attempt->running_since + policy_->times.settle_s : 0;
   const bool settled = runs && clock_->Now() >= settled_at;
@@ -228,7 +229,7 @@
   return {};
 }
 
-Wait DisruptionLedger::AllowsReplica(JobIdx j) const {
+Wait DisruptionLedger::AllowsReplica(JobIndex j) const {
   if (!active()) return {};
   if (!confirmed_) return {WaitReason::kPolicyNotRead, ""};
   auto it = jobs_.find(j);
@@ -236,7 +237,7 @@
   return Within(it->second, 1);
 }
 
-Wait DisruptionLedger::WithinBudget(JobIdx j) const {
+Wait DisruptionLedger::WithinBudget(JobIndex j) const {
   if (!active()) return {};
   if (!confirmed_) return {WaitReason::kPolicyNotRead, ""};
   auto it = jobs_.find(j);
@@ -250,11 +251,11 @@
   return static_cast<size_t>(account.stops.end() - recent);
 }
 
-Wait DisruptionLedger::AllowsStops(const std::vector<JobIdx>& tasks) const {
+Wait DisruptionLedger::AllowsStops(const std::vector<JobIndex>& tasks) const {
   if (!active()) return {};
   if (!confirmed_) return {WaitReason::kPolicyNotRead, ""};
   std::map<size_t, size_t> more;
-  for (JobIdx j : tasks) {
+  for (JobIndex j : tasks) {
     auto it = jobs_.find(j);
     if (it == jobs_.end()) continue;
     for (size_t a : it->second.accounts) ++more[a];
@@ -271,27 +272,27 @@
   return {};
 }
 
-void DisruptionLedger::Hold(JobIdx j, uint32_t task) {
+void DisruptionLedger::Hold(JobIndex j, uint32_t task) {
   auto it = jobs_.find(j);
   if (it == jobs_.end() || task >= it->second.count) return;
   held_.add(it->second.first + task);
   Look(it->second.first + task);
 }
 
-void DisruptionLedger::Release(JobIdx j, uint32_t task) {
+void DisruptionLedger::Release(JobIndex j, uint32_t task) {
   auto it = jobs_.find(j);
   if (it == jobs_.end() || task >= it->second.count) return;
   held_.remove(it->second.first + task);
   Look(it->second.first + task);
 }
 
-bool DisruptionLedger::Available(JobIdx j, uint32_t task) const {
+bool DisruptionLedger::Available(JobIndex j, uint32_t task) const {
   auto it = jobs_.find(j);
   return it != jobs_.end() && task < it->second.count &&
          available_.contains(it->second.first + task);
 }
 
-uint64_t DisruptionLedger::AvailableOf(JobIdx j) const {
+uint64_t DisruptionLedger::AvailableOf(JobIndex j) const {
   auto it = jobs_.find(j);
   if (it == jobs_.end() || it->second.count == 0) return 0;
   const uint32_t first = it->second.first;
--- a/src/drain/disruption_ledger.h
+++ b/src/drain/disruption_ledger.h
@@ -25,7 +25,7 @@
 class DisruptionLedger : public DisruptionObserver {
  public:
   // A machine not heard for `overdue_s` is in doubt.
-  DisruptionLedger(JobBook* book, Fleet* fleet, const Clock* clock, double overdue_s);
+  DisruptionLedger(JobStore* job_store, Fleet* fleet, const Clock* clock, double overdue_s);
 
   // The policy in force. `confirmed`: the state service said so in this term; until then
   // nothing voluntary is allowed. Null: nothing is counted, everything is allowed.
@@ -35,24 +35,24 @@
   void Refresh();
 
   // Whether one more available replica of the job may go down now.
-  Wait AllowsReplica(JobIdx j) const;
+  Wait AllowsReplica(JobIndex j) const;
   // Whether what is down, chosen replicas included, is within the budgets of the job.
-  Wait WithinBudget(JobIdx j) const;
+  Wait WithinBudget(JobIndex j) const;
   // Whether these tasks of arrays, one entry each, may be stopped now.
-  Wait AllowsStops(const std::vector<JobIdx>& tasks) const;
+  Wait AllowsStops(const std::vector<JobIndex>& tasks) const;
   // A replica was chosen to be stopped: it counts as down from now on. Released when it was
   // told to stop, or is not stopped after all.
-  void Hold(JobIdx j, uint32_t task);
-  void Release(JobIdx j, uint32_t task);
-  bool Available(JobIdx j, uint32_t task) const;
+  void Hold(JobIndex j, uint32_t task);
+  void Release(JobIndex j, uint32_t task);
+  bool Available(JobIndex j, uint32_t task) const;
   // Replicas of the job that are available.
-  uint64_t AvailableOf(JobIdx j) const;
+  uint64_t AvailableOf(JobIndex j) const;
   // Replicas of the team that are not available, as counted; for reports and tests.
   uint64_t DownOf(const std::string& team) const;
 
-  void ReplicaChanged(JobIdx j, uint32_t task) override;
-  void ArrayTaskStopped(JobIdx j) override;
-  void JobChanged(JobIdx j) override;
+  void ReplicaChanged(JobIndex j, uint32_t task) override;
+  void ArrayTaskStopped(JobIndex j) override;
+  void JobChanged(JobIndex j) override;
 
   // Replicas and machines looked at so far, to bound the work as the fleet grows.
   uint64_t steps() const { return steps_; }
@@ -68,7 +68,7 @@
     std::deque<double> stops;  // times at which tasks of arrays were lost or stopped
   };
   struct Replica {
-    JobIdx job = kNone;
+    JobIndex job = kNoIndex;
     uint32_t task = 0;
   };
   // The numbers of a job's replicas, and the accounts that it belongs to.
@@ -83,8 +83,8 @@
   void Rebuild(bool first);
   std::vector<size_t> AccountsOf(const Job& job);
   size_t AccountFor(const std::string& team, const std::string& job_class);
-  void AddJob(JobIdx j, bool may_have_run);
-  void RemoveJob(JobIdx j);
+  void AddJob(JobIndex j, bool may_have_run);
+  void RemoveJob(JobIndex j);
   void RefreshDoubts();
   bool InDoubt(const Machine& m) const;
   Replica ReplicaOf(uint32_t number) const;
@@ -92,7 +92,7 @@
   Wait Within(const Known& job, uint64_t more) const;
   size_t StopsInWindow(const Account& account) const;
 
-  JobBook* book_;
+  JobStore* job_store_;
   Fleet* fleet_;
   const Clock* clock_;
   double overdue_s_;
@@ -102,8 +102,8 @@
   double stops_known_from_ = -1;
   std::vector<Account> accounts_;
   std::map<std::pair<std::string, std::string>, size_t> account_index_;
-  std::map<JobIdx, Known> jobs_;
-  std::map<uint32_t, JobIdx> job_at_;  // by its first number
+  std::map<JobIndex, Known> jobs_;
+  std::map<uint32_t, JobIndex> job_at_;  // by its first number
   uint32_t next_number_ = 0;
   Roaring changed_;                          // replicas to look at
   Roaring available_;                        // replicas
--- a/src/drain/drain_members.cc
+++ b/src/drain/drain_members.cc
@@ -16,9 +16,9 @@
                                                   [](const DrainOrder& drain) {
                                                     return drain.machines.network.has_value();
                                                   });
-  for (MachIdx mi : fleet_->active()) {
+  for (MachineIndex mi : fleet_->active()) {
     Machine& m = (*fleet_)[mi];
-    m.cordoned = m.drained = false;
+    m.cordoned = m.scale_in_when_empty = false;
   }
   Sync();
   fleet_->changed = true;
@@ -29,10 +29,11 @@
   all_closed_ =
       policy_ != nullptr && pools_ > 0 &&
       std::all_of(rentals_->pools().begin(), rentals_->pools().end(), [this](const Pool& pool) {
-        return std::any_of(
-            policy_->drains.begin(), policy_->drains.end(), [this, &pool](const DrainOrder& drain) {
-              return drain.machines.MayMatch(book_->types[pool.type], book_->zones[pool.zone]);
-            });
+        return std::any_of(policy_->drains.begin(), policy_->drains.end(),
+                           [this, &pool](const DrainOrder& drain) {
+                             return drain.machines.MayMatch(job_store_->types[pool.type],
+                                                            job_store_->zones[pool.zone]);
+                           });
       });
 }
 
@@ -41,24 +42,25 @@
 }
 
 bool DrainMembers::Known(const Machine& m) const {
-  return m.type != kNone && m.zone != kNone && (!by_network_ || !m.endpoint.empty());
+  return m.type != kNoIndex && m.zone != kNoIndex && (!by_network_ || !m.endpoint.empty());
 }
 
-bool DrainMembers::Add(MachIdx mi) {
+bool DrainMembers::Add(MachineIndex mi) {
   Machine& m = (*fleet_)[mi];
-  if (m.gone) return false;
+  if (m.removed) return false;
   bool added = false;
   for (size_t d = 0; d < members_.size(); ++d) {
     const DrainOrder& drain = policy_->drains[d];
-    if (!drain.machines.Matches(m.name, book_->types[m.type], book_->zones[m.zone], m.endpoint)) {
+    if (!drain.machines.Matches(m.name, job_store_->types[m.type], job_store_->zones[m.zone],
+                                m.endpoint)) {
       continue;
     }
-    if (ReplacesOnly(drain) && m.rented_wall > since_wall_[d]) continue;
+    if (ReplacesOnly(drain) && m.provisioned_at_wall > since_wall_[d]) continue;
     members_[d].add(mi);
     m.cordoned = true;
     // Room that a drain needs is emptied by the drain alone.
-    if (m.emptying) m.emptying = m.drain = false;
-    if (!drain.paused) m.drained = true;
+    if (m.consolidating) m.consolidating = m.unschedulable = false;
+    if (!drain.paused) m.scale_in_when_empty = true;
     added = true;
   }
   return added;
@@ -70,14 +72,14 @@
   if (pools_ != rentals_->pools().size()) Use(policy_, since_wall_);
   bool added = false;
   const Roaring unknown = std::exchange(unknown_, Roaring());
-  auto look = [this, &added](MachIdx mi) {
+  auto look = [this, &added](MachineIndex mi) {
     if (Known((*fleet_)[mi])) {
       added = Add(mi) || added;
-    } else if (!(*fleet_)[mi].gone) {
+    } else if (!(*fleet_)[mi].removed) {
       unknown_.add(mi);
     }
   };
-  for (MachIdx mi : unknown) look(mi);
+  for (MachineIndex mi : unknown) look(mi);
   for (; looked_at_ < fleet_->size(); ++looked_at_) look(looked_at_);
   return added;
 }
--- a/src/drain/drain_members.h
+++ b/src/drain/drain_members.h
@@ -14,8 +14,8 @@
 
 class DrainMembers {
  public:
-  DrainMembers(JobBook* book, Fleet* fleet, Rentals* rentals)
-      : book_(book), fleet_(fleet), rentals_(rentals) {}
+  DrainMembers(JobStore* job_store, Fleet* fleet, Rentals* rentals)
+      : job_store_(job_store), fleet_(fleet), rentals_(rentals) {}
 
   // The drains in force, and since when each is, by the time of day; machines that no drain
   // names any more take tasks again.
@@ -25,7 +25,7 @@
   // Machines of a drain, by its place in the policy; those that are gone stay among them until
   // they are removed.
   const Roaring& Of(size_t drain) const { return members_[drain]; }
-  void Remove(size_t drain, MachIdx m) { members_[drain].remove(m); }
+  void Remove(size_t drain, MachineIndex m) { members_[drain].remove(m); }
   // Whether a drain wants such machines gone, so that none is to be rented. Drains never close
   // all that can be rented: then those that would are about the machines that were there when
   // they began, and new ones replace those.
@@ -36,9 +36,9 @@
   bool ReplacesOnly(const DrainOrder& drain) const;
   void CountPools();
   bool Known(const Machine& m) const;
-  bool Add(MachIdx m);
+  bool Add(MachineIndex m);
 
-  JobBook* book_;
+  JobStore* job_store_;
   Fleet* fleet_;
   Rentals* rentals_;
   std::shared_ptr<const DisruptionPolicy> policy_;
--- a/src/drain/drainer.cc
+++ b/src/drain/drainer.cc
@@ -18,22 +18,22 @@
 }  // namespace
 
 Drainer::Drainer(const DrainerPorts& ports)
-    : book_(ports.book),
+    : job_store_(ports.job_store),
       fleet_(ports.fleet),
       free_capacity_(ports.free_capacity),
       rentals_(ports.rentals),
       gangs_(ports.gangs),
-      store_(ports.store),
+      record_store_(ports.record_store),
       ledger_(ports.ledger),
       clock_(ports.clock),
-      members_(ports.book, ports.fleet, ports.rentals),
-      step_book_(ports.book, ports.fleet, ports.store, ports.clock),
-      places_(ports.book, ports.free_capacity, ports.clock) {}
+      members_(ports.job_store, ports.fleet, ports.rentals),
+      step_book_(ports.job_store, ports.fleet, ports.record_store, ports.clock),
+      places_(ports.job_store, ports.free_capacity, ports.clock) {}
 
-bool Drainer::LoadRow(RowId row, const std::string& text) {
+bool Drainer::LoadRow(RecordId row, const std::string& text) {
   DrainProgress progress;
   if (DecodeProgress(text, &progress)) {
-    store_->Reserve(row, kProgressBytes);
+    record_store_->Reserve(row, kProgressBytes);
     const std::string name = progress.drain;
     loaded_[name] = {row, std::move(progress)};
     return true;
@@ -100,7 +100,7 @@
   }
   StartSteps();
   double ahead = 0;
-  for (JobIdx j : room_wanted_) ahead += (*book_)[j].spec.cores;
+  for (JobIndex j : room_wanted_) ahead += (*job_store_)[j].spec.cores;
   free_capacity_->SetRoomAhead(ahead);
   for (Drain& drain : drains_) RefreshDrain(&drain);
   if (clock_->Now() < next_write_) return;
@@ -110,14 +110,14 @@
   // What is left of drains that were withdrawn.
   for (const auto& [name, before] : std::exchange(loaded_, {})) {
     spdlog::info("drain {} is withdrawn", name);
-    if (before.first != kNoRow) store_->Remove(before.first);
+    if (before.first != kNoRecord) record_store_->Remove(before.first);
   }
 }
 
 bool Drainer::TypeUnknown(const Drain& drain) const {
   const std::string& type = drain.order->machines.type;
   if (type.empty() || !rentals_->types_known() || drain.progress.machines_done > 0) return false;
-  return rentals_->TypeOf(book_->types.Find(type)) == nullptr;
+  return rentals_->TypeOf(job_store_->types.Find(type)) == nullptr;
 }
 
 bool Drainer::PastDeadline(const Drain& drain) const {
@@ -132,23 +132,24 @@
                           drains_.begin());
   drain->sorted_at = clock_->Now();
   drain->queue.clear();
-  std::vector<MachIdx> gone;
+  std::vector<MachineIndex> gone;
   for (uint32_t mi : members_.Of(index)) {
     ++looked_at_;
-    if ((*fleet_)[mi].gone) {
+    if ((*fleet_)[mi].removed) {
       gone.push_back(mi);
     } else {
       drain->queue.push_back(mi);
     }
   }
-  for (MachIdx mi : gone) {
+  for (MachineIndex mi : gone) {
     members_.Remove(index, mi);
     ++drain->progress.machines_done;
     drain->moved_at = clock_->Now();
   }
-  std::stable_sort(drain->queue.begin(), drain->queue.end(), [this](MachIdx a, MachIdx b) {
-    return (*fleet_)[a].service_cores < (*fleet_)[b].service_cores;
-  });
+  std::stable_sort(drain->queue.begin(), drain->queue.end(),
+                   [this](MachineIndex a, MachineIndex b) {
+                     return (*fleet_)[a].service_cores < (*fleet_)[b].service_cores;
+                   });
   drain->cursor = 0;
 }
 
@@ -181,7 +182,7 @@
       *looks = 0;
       return false;
     }
-    const MachIdx mi = drain->queue[drain->cursor];
+    const MachineIndex mi = drain->queue[drain->cursor];
     ++looked_at_;
     --*looks;
     if (!Examine(drain, mi)) {
@@ -195,9 +196,9 @@
   return false;
 }
 
-bool Drainer::Examine(Drain* drain, MachIdx mi) {
+bool Drainer::Examine(Drain* drain, MachineIndex mi) {
   const Machine& m = (*fleet_)[mi];
-  if (m.gone) return false;
+  if (m.removed) return false;
   if (drain->order->paused) {
     drain->wait = {WaitReason::kPaused, ""};
     return false;
@@ -214,8 +215,8 @@
   // The books of the machine may grow while it is looked at, but nothing is taken out.
   for (size_t i = 0; i < (*fleet_)[mi].attempts.size(); ++i) {
     ++looked_at_;
-    PlacedAttempt& slot = (*fleet_)[mi].attempts[i];
-    if (slot.gone || !slot.keep || slot.job == kNone) continue;
+    TaskAttempt& slot = (*fleet_)[mi].attempts[i];
+    if (slot.released || !slot.wanted || slot.job == kNoIndex) continue;
     const bool begun =
         slot.service ? ExamineReplica(drain, mi, slot) : ExamineArrayTask(drain, mi, &slot);
     if (begun) return true;
@@ -223,17 +224,18 @@
   return false;
 }
 
-Wait Drainer::MayMove(MachIdx mi, const PlacedAttempt& slot) const {
-  const Job& job = (*book_)[slot.job];
+Wait Drainer::MayMove(MachineIndex mi, const TaskAttempt& slot) const {
+  const Job& job = (*job_store_)[slot.job];
   if (step_book_.steps().size() >= policy_->times.steps_at_once) {
     return {WaitReason::kStepsAtOnce, ""};
   }
-  if (job.unseen > 0) return {WaitReason::kTakingOver, job.id};
-  if (slot.state != TaskState::kRunning) return {WaitReason::kReplicaStarting, slot.name};
-  if ((*fleet_)[mi].fails > 0 || (*fleet_)[mi].probe_fails > 0) {
+  if (job.tasks_unreconciled > 0) return {WaitReason::kTakingOver, job.id};
+  if (slot.state != TaskState::kRunning) return {WaitReason::kReplicaStarting, slot.task_name};
+  if ((*fleet_)[mi].unreachable_count > 0 || (*fleet_)[mi].probe_failures > 0) {
     return {WaitReason::kMachineSilent, (*fleet_)[mi].name};
   }
-  if (!ledger_->Available(slot.job, slot.task)) return {WaitReason::kReplicaStarting, slot.name};
+  if (!ledger_->Available(slot.job, slot.task_index))
+    return {WaitReason::kReplicaStarting, slot.task_name};
   const uint64_t up = ledger_->AvailableOf(slot.job);
   auto pause = pauses_.find(slot.job);
   if (pause != pauses_.end() && (up < job.tasks.size() || clock_->Now() < pause->second.until)) {
@@ -243,9 +245,9 @@
   return ledger_->AllowsReplica(slot.job);
 }
 
-bool Drainer::ExamineReplica(Drain* drain, MachIdx mi, const PlacedAttempt& slot) {
+bool Drainer::ExamineReplica(Drain* drain, MachineIndex mi, const TaskAttempt& slot) {
   if (slot.state != TaskState::kRunning) MoveStuckReplica(mi, slot);
-  if (step_book_.Moving(slot.job, slot.task)) return false;
+  if (step_book_.Moving(slot.job, slot.task_index)) return false;
   Wait wait = MayMove(mi, slot);
   PlaceFinder::Result place;
   if (!wait) {
@@ -260,36 +262,36 @@
     return false;
   }
   if (place.has_image) image_wait_since_.erase(slot.job);
-  ledger_->Hold(slot.job, slot.task);
-  HoldPlace(&step_book_.Begin(drain->order->name, slot.job, slot.task, mi, slot.attempt),
+  ledger_->Hold(slot.job, slot.task_index);
+  HoldPlace(&step_book_.Begin(drain->order->name, slot.job, slot.task_index, mi, slot.number),
             place.machine);
-  drain->wait = {WaitReason::kReplacing, (*book_)[slot.job].id};
+  drain->wait = {WaitReason::kReplacing, (*job_store_)[slot.job].id};
   return true;
 }
 
 // A replica that does not come up on a drained machine is down already: it is tried elsewhere.
-void Drainer::MoveStuckReplica(MachIdx mi, const PlacedAttempt& slot) {
-  if (slot.running_since >= 0 || !slot.keep) return;
+void Drainer::MoveStuckReplica(MachineIndex mi, const TaskAttempt& slot) {
+  if (slot.running_since >= 0 || !slot.wanted) return;
   if (clock_->Now() - slot.launched_at < policy_->times.replace_within_s) return;
-  fleet_->Unwant(mi, fleet_->AttemptOf(mi, slot.job, slot.task, slot.attempt), 0);
+  fleet_->Unwant(mi, fleet_->AttemptOf(mi, slot.job, slot.task_index, slot.number), 0);
   fleet_->changed = true;
 }
 
-bool Drainer::ExamineArrayTask(Drain* drain, MachIdx mi, PlacedAttempt* slot) {
-  const Job& job = (*book_)[slot->job];
+bool Drainer::ExamineArrayTask(Drain* drain, MachineIndex mi, TaskAttempt* slot) {
+  const Job& job = (*job_store_)[slot->job];
   if (!PastDeadline(*drain)) {
     drain->wait = {WaitReason::kArraysRunning, job.id};
     return false;
   }
   // A gang is stopped whole or not at all.
-  const size_t count = job.spec.gang ? job.on.size() : 1;
-  const Wait wait = ledger_->AllowsStops(std::vector<JobIdx>(count, slot->job));
+  const size_t count = job.spec.gang ? job.machines.size() : 1;
+  const Wait wait = ledger_->AllowsStops(std::vector<JobIndex>(count, slot->job));
   if (wait) {
     drain->wait = wait;
     return false;
   }
-  spdlog::info("drain {}: past its deadline, stopping {} on {}", drain->order->name, slot->name,
-               (*fleet_)[mi].name);
+  spdlog::info("drain {}: past its deadline, stopping {} on {}", drain->order->name,
+               slot->task_name, (*fleet_)[mi].name);
   drain->progress.tasks_stopped += count;
   if (job.spec.gang) {
     gangs_->StopWhole(slot->job, "a drain is past its deadline");
@@ -337,10 +339,10 @@
   std::string text = EncodeProgress(shown);
   if (text == drain->written) return;
   drain->written = text;
-  if (drain->row == kNoRow) {
-    drain->row = store_->Add(std::move(text), kProgressBytes, WriteUrgency::kSoon);
+  if (drain->row == kNoRecord) {
+    drain->row = record_store_->Add(std::move(text), kProgressBytes, WritePriority::kDeferred);
   } else {
-    store_->Set(drain->row, std::move(text), kProgressBytes, WriteUrgency::kLazy);
+    record_store_->Update(drain->row, std::move(text), kProgressBytes, WritePriority::kBackground);
   }
 }
 
--- a/src/drain/drainer.h
+++ b/src/drain/drainer.h
@@ -19,12 +19,12 @@
 namespace deckhall {
 
 struct DrainerPorts {
-  JobBook* book = nullptr;
+  JobStore* job_store = nullptr;
   Fleet* fleet = nullptr;
   FreeCapacity* free_capacity = nullptr;
   Rentals* rentals = nullptr;
   GangKeeper* gangs = nullptr;
-  RowStore* store = nullptr;
+  RecordStore* record_store = nullptr;
   DisruptionLedger* ledger = nullptr;
   const Clock* clock = nullptr;
 };
@@ -34,7 +34,7 @@
   explicit Drainer(const DrainerPorts& ports);
 
   // Reads one row if it is one of ours; FinishLoad() after all rows, Use() only after that.
-  bool LoadRow(RowId row, const std::string& text);
+  bool LoadRow(RecordId row, const std::string& text);
   void FinishLoad();
   // The policy in force, null without one; `confirmed` as for DisruptionLedger::Use.
   void Use(std::shared_ptr<const DisruptionPolicy> policy, bool confirmed);
@@ -49,7 +49,7 @@
     return members_.Closes(type, zone);
   }
   // Jobs whose replicas will need room elsewhere next, one entry each.
-  const std::vector<JobIdx>& room_wanted() const { return room_wanted_; }
+  const std::vector<JobIndex>& room_wanted() const { return room_wanted_; }
   // Progress of the drains in force, in the order of the policy.
   std::vector<DrainProgress> Progress() const;
   const StepBook& step_book() const { return step_book_; }
@@ -61,9 +61,10 @@
   struct Drain {
     const DrainOrder* order = nullptr;
     DrainProgress progress;
-    RowId row = kNoRow;
-    std::string written;         // of its row
-    std::vector<MachIdx> queue;  // its machines, those that are emptied with least effort first
+    RecordId row = kNoRecord;
+    std::string written;  // of its row
+    std::vector<MachineIndex>
+        queue;  // its machines, those that are emptied with least effort first
     size_t cursor = 0;
     double sorted_at = -1;
     double stepped_at = -1;  // it last began a step: others go first
@@ -88,7 +89,7 @@
   bool StopReplica(DrainStep* step);
   // The replacement is late: another machine is tried. False: the step is given up.
   bool TryElsewhere(DrainStep* step);
-  void HoldPlace(DrainStep* step, MachIdx place);
+  void HoldPlace(DrainStep* step, MachineIndex place);
   void ReleasePlace(DrainStep* step);
   double BoundOf(const DrainStep& step) const;
 
@@ -96,11 +97,11 @@
   // Looks at the drain's next machines; true when a step was begun.
   bool StartOne(Drain* drain, size_t* looks);
   // True when something was begun there.
-  bool Examine(Drain* drain, MachIdx m);
-  bool ExamineReplica(Drain* drain, MachIdx m, const PlacedAttempt& slot);
-  bool ExamineArrayTask(Drain* drain, MachIdx m, PlacedAttempt* slot);
-  Wait MayMove(MachIdx m, const PlacedAttempt& slot) const;
-  void MoveStuckReplica(MachIdx m, const PlacedAttempt& slot);
+  bool Examine(Drain* drain, MachineIndex m);
+  bool ExamineReplica(Drain* drain, MachineIndex m, const TaskAttempt& slot);
+  bool ExamineArrayTask(Drain* drain, MachineIndex m, TaskAttempt* slot);
+  Wait MayMove(MachineIndex m, const TaskAttempt& slot) const;
+  void MoveStuckReplica(MachineIndex m, const TaskAttempt& slot);
   void SortMachines(Drain* drain);
   // Its type is not on offer, nor on any machine.
   bool TypeUnknown(const Drain& drain) const;
@@ -108,15 +109,15 @@
   void RefreshDrain(Drain* drain);
   void Write(Drain* drain);
   void Progressed(const std::string& drain);
-  PlacedAttempt* SlotOf(const DrainStep& step);
+  TaskAttempt* SlotOf(const DrainStep& step);
   static double GraceOf(const Job& job);
 
-  JobBook* book_;
+  JobStore* job_store_;
   Fleet* fleet_;
   FreeCapacity* free_capacity_;
   Rentals* rentals_;
   GangKeeper* gangs_;
-  RowStore* store_;
+  RecordStore* record_store_;
   DisruptionLedger* ledger_;
   const Clock* clock_;
   DrainMembers members_;
@@ -125,10 +126,10 @@
   std::shared_ptr<const DisruptionPolicy> policy_;
   bool confirmed_ = false;
   std::deque<Drain> drains_;
-  std::map<std::string, std::pair<RowId, DrainProgress>> loaded_;  // not in the policy so far
-  std::map<JobIdx, Pause> pauses_;
-  std::map<JobIdx, double> image_wait_since_;
-  std::vector<JobIdx> room_wanted_;
+  std::map<std::string, std::pair<RecordId, DrainProgress>> loaded_;  // not in the policy so far
+  std::map<JobIndex, Pause> pauses_;
+  std::map<JobIndex, double> image_wait_since_;
+  std::vector<JobIndex> room_wanted_;
   double next_write_ = 0;
   uint64_t looked_at_ = 0;
 };
--- a/src/drain/drainer_steps.cc
+++ b/src/drain/drainer_steps.cc
@@ -21,20 +21,20 @@
   return job.spec.checkpoint_interval_s > 0 ? job.spec.checkpoint_grace_s + kSaveMargin : 0;
 }
 
-PlacedAttempt* Drainer::SlotOf(const DrainStep& step) {
-  if (step.from == kNone) return nullptr;
+TaskAttempt* Drainer::SlotOf(const DrainStep& step) {
+  if (step.from == kNoIndex) return nullptr;
   return fleet_->AttemptOf(step.from, step.job, step.task, step.attempt);
 }
 
-void Drainer::HoldPlace(DrainStep* step, MachIdx place) {
+void Drainer::HoldPlace(DrainStep* step, MachineIndex place) {
   step->place = place;
-  free_capacity_->HoldRoom(place, (*book_)[step->job]);
+  free_capacity_->HoldRoom(place, (*job_store_)[step->job]);
 }
 
 void Drainer::ReleasePlace(DrainStep* step) {
-  if (step->place == kNone) return;
-  free_capacity_->ReleaseRoom(step->place, (*book_)[step->job]);
-  step->place = kNone;
+  if (step->place == kNoIndex) return;
+  free_capacity_->ReleaseRoom(step->place, (*job_store_)[step->job]);
+  step->place = kNoIndex;
   fleet_->changed = true;
 }
 
@@ -49,15 +49,15 @@
 
 bool Drainer::Advance(DrainStep* step) {
   ++looked_at_;
-  if ((*book_)[step->job].life != JobLife::kLive) return false;
+  if ((*job_store_)[step->job].lifecycle != JobLifecycle::kActive) return false;
   switch (step->phase) {
     case StepPhase::kAdopted:
       return AdvanceAdopted(step);
     case StepPhase::kRecording:
       return AdvanceRecording(step);
     case StepPhase::kStopping: {
-      const PlacedAttempt* slot = SlotOf(*step);
-      if (slot != nullptr && !slot->gone) return true;
+      const TaskAttempt* slot = SlotOf(*step);
+      if (slot != nullptr && !slot->released) return true;
       step_book_.SetPhase(step, StepPhase::kReplacing);
       fleet_->changed = true;
       return true;
@@ -69,13 +69,13 @@
 }
 
 bool Drainer::AdvanceAdopted(DrainStep* step) {
-  const Task& task = (*book_)[step->job].tasks[step->task];
-  if (task.phase == TaskPhase::kUnseen) return true;
-  const PlacedAttempt* slot = SlotOf(*step);
-  if (slot != nullptr && !slot->gone && slot->keep) {
+  const Task& task = (*job_store_)[step->job].tasks[step->task];
+  if (task.phase == TaskPhase::kUnreconciled) return true;
+  const TaskAttempt* slot = SlotOf(*step);
+  if (slot != nullptr && !slot->released && slot->wanted) {
     // The stop never came, nor can it any more: the machine has shown this term's token.
     spdlog::info("{} still runs on {}: the step of the leader before was not carried out",
-                 slot->name, (*fleet_)[step->from].name);
+                 slot->task_name, (*fleet_)[step->from].name);
     return false;
   }
   step_book_.SetPhase(step, StepPhase::kReplacing);
@@ -83,20 +83,20 @@
 }
 
 bool Drainer::AdvanceRecording(DrainStep* step) {
-  const PlacedAttempt* slot = SlotOf(*step);
+  const TaskAttempt* slot = SlotOf(*step);
   // It ended by itself, or was stopped for another reason.
-  if (slot == nullptr || slot->gone || !slot->keep) return false;
+  if (slot == nullptr || slot->released || !slot->wanted) return false;
   if (!step_book_.Durable(*step)) return clock_->Now() - step->phase_since < kRecordWithin;
   return StopReplica(step);
 }
 
 bool Drainer::StopReplica(DrainStep* step) {
-  PlacedAttempt* slot = SlotOf(*step);
-  const Job& job = (*book_)[step->job];
+  TaskAttempt* slot = SlotOf(*step);
+  const Job& job = (*job_store_)[step->job];
   // Since the choice machines may have been lost, the budget lowered, or the place taken.
   if (!InForce(step->drain) || ledger_->WithinBudget(step->job)) return false;
   if (!free_capacity_->Current(step->place).usable) return false;
-  spdlog::info("drain {}: moving {} off {}, to {}", step->drain, slot->name,
+  spdlog::info("drain {}: moving {} off {}, to {}", step->drain, slot->task_name,
                (*fleet_)[step->from].name, (*fleet_)[step->place].name);
   fleet_->Unwant(step->from, slot, GraceOf(job));
   fleet_->changed = true;
@@ -124,7 +124,7 @@
 }
 
 bool Drainer::TryElsewhere(DrainStep* step) {
-  Job& job = (*book_)[step->job];
+  Job& job = (*job_store_)[step->job];
   const Task& task = job.tasks[step->task];
   ++step->tries;
   step->phase_since = clock_->Now();
@@ -139,12 +139,13 @@
     return false;
   }
   if (task.phase != TaskPhase::kPlaced) return true;
-  PlacedAttempt* slot = fleet_->AttemptOf(task.machine, step->job, step->task, task.attempt);
+  TaskAttempt* slot = fleet_->AttemptOf(task.machine, step->job, step->task, task.attempt);
   if (slot == nullptr || slot->running_since >= 0) return true;
   spdlog::warn("drain {}: {} does not start on {}; another machine is tried", step->drain,
-               slot->name, (*fleet_)[task.machine].name);
-  if (std::find(job.failed_on.begin(), job.failed_on.end(), task.machine) == job.failed_on.end()) {
-    job.failed_on.push_back(task.machine);
+               slot->task_name, (*fleet_)[task.machine].name);
+  if (std::find(job.failed_machines.begin(), job.failed_machines.end(), task.machine) ==
+      job.failed_machines.end()) {
+    job.failed_machines.push_back(task.machine);
   }
   fleet_->Unwant(task.machine, slot, 0);
   fleet_->changed = true;
@@ -155,18 +156,17 @@
 
 void Drainer::PlaceReplacements() {
   for (DrainStep& step : step_book_.steps()) {
-    if (step.phase != StepPhase::kReplacing || step.place == kNone) continue;
-    const MachIdx place = step.place;
-    const Job& job = (*book_)[step.job];
+    if (step.phase != StepPhase::kReplacing || step.place == kNoIndex) continue;
+    const MachineIndex place = step.place;
+    const Job& job = (*job_store_)[step.job];
     const Task& task = job.tasks[step.task];
     if (task.phase == TaskPhase::kPlaced) {
-      const PlacedAttempt* slot =
-          fleet_->AttemptOf(task.machine, step.job, step.task, task.attempt);
+      const TaskAttempt* slot = fleet_->AttemptOf(task.machine, step.job, step.task, task.attempt);
       // The attempt before is still on its way out.
-      if (slot != nullptr && !slot->keep) continue;
+      if (slot != nullptr && !slot->wanted) continue;
     }
     ReleasePlace(&step);
-    if (task.phase != TaskPhase::kWaiting || job.life != JobLife::kLive) continue;
+    if (task.phase != TaskPhase::kWaiting || job.lifecycle != JobLifecycle::kActive) continue;
     if (clock_->Now() < job.backoff_until || !free_capacity_->TeamRoom(job)) continue;
     if (!places_.StillFits(step.job, place)) continue;
     fleet_->Place(place, step.job, step.task, fleet_->NewAttempt());
--- a/src/drain/place_finder.cc
+++ b/src/drain/place_finder.cc
@@ -37,38 +37,39 @@
   return some;
 }
 
-PlaceFinder::Result PlaceFinder::Find(JobIdx j, MachIdx from, bool fetch) {
-  const Job& job = (*book_)[j];
+PlaceFinder::Result PlaceFinder::Find(JobIndex j, MachineIndex from, bool fetch) {
+  const Job& job = (*job_store_)[j];
   RefreshOpen();
-  std::vector<uint32_t> on = job.on;
+  std::vector<uint32_t> on = job.machines;
   if (auto it = std::find(on.begin(), on.end(), from); it != on.end()) on.erase(it);
   std::vector<char> zones;
   if (!free_capacity_->ZoneRoom(job, on, &zones))
-    return {kNone, false, {WaitReason::kTakingOver, job.id}};
+    return {kNoIndex, false, {WaitReason::kTakingOver, job.id}};
   Need need = free_capacity_->NeedOf(job, zones, on);
   need.patient = false;
   std::vector<uint32_t> some = Some();
   // Where it failed before, or did not start, it is not sent on purpose.
   std::erase_if(some, [&job](uint32_t m) {
-    return std::find(job.failed_on.begin(), job.failed_on.end(), m) != job.failed_on.end();
+    return std::find(job.failed_machines.begin(), job.failed_machines.end(), m) !=
+           job.failed_machines.end();
   });
   need.here_only = true;
   int at = Picker(&need, &free_capacity_->nodes(), some).Next(true);
-  if (at >= 0) return {static_cast<MachIdx>(at), true, {}};
+  if (at >= 0) return {static_cast<MachineIndex>(at), true, {}};
   need.here_only = false;
   at = Picker(&need, &free_capacity_->nodes(), some).Next(true);
-  if (at >= 0 && fetch) return {static_cast<MachIdx>(at), false, {}};
-  if (at >= 0) return {kNone, false, {WaitReason::kNoImage, job.id}};
+  if (at >= 0 && fetch) return {static_cast<MachineIndex>(at), false, {}};
+  if (at >= 0) return {kNoIndex, false, {WaitReason::kNoImage, job.id}};
   const bool no_zone = need.zones != nullptr && std::none_of(zones.begin(), zones.end(),
                                                              [](char open) { return open != 0; });
-  return {kNone, false, {no_zone ? WaitReason::kZoneRule : WaitReason::kNoPlace, job.id}};
+  return {kNoIndex, false, {no_zone ? WaitReason::kZoneRule : WaitReason::kNoPlace, job.id}};
 }
 
-bool PlaceFinder::StillFits(JobIdx j, MachIdx place) {
-  const Job& job = (*book_)[j];
+bool PlaceFinder::StillFits(JobIndex j, MachineIndex place) {
+  const Job& job = (*job_store_)[j];
   std::vector<char> zones;
-  if (!free_capacity_->ZoneRoom(job, job.on, &zones)) return false;
-  const Need need = free_capacity_->NeedOf(job, zones, job.on);
+  if (!free_capacity_->ZoneRoom(job, job.machines, &zones)) return false;
+  const Need need = free_capacity_->NeedOf(job, zones, job.machines);
   const Node& node = free_capacity_->Current(place);
   return node.usable && Allows(need, node.type, node.zone, node.spot) && Fits(need, node);
 }
--- a/src/drain/place_finder.h
+++ b/src/drain/place_finder.h
@@ -12,19 +12,19 @@
 
 class PlaceFinder {
  public:
-  PlaceFinder(JobBook* book, FreeCapacity* free_capacity, const Clock* clock)
-      : book_(book), free_capacity_(free_capacity), clock_(clock) {}
+  PlaceFinder(JobStore* job_store, FreeCapacity* free_capacity, const Clock* clock)
+      : job_store_(job_store), free_capacity_(free_capacity), clock_(clock) {}
 
   struct Result {
-    MachIdx machine = kNone;
+    MachineIndex machine = kNoIndex;
     bool has_image = false;
     Wait wait;  // why there is none
   };
   // A place for one replica of the job that leaves `from`. `fetch`: where its image has to be
   // fetched will do.
-  Result Find(JobIdx j, MachIdx from, bool fetch);
+  Result Find(JobIndex j, MachineIndex from, bool fetch);
   // Whether the job may have one more task there now, beside those that it has.
-  bool StillFits(JobIdx j, MachIdx place);
+  bool StillFits(JobIndex j, MachineIndex place);
   uint64_t looked_at() const { return looked_at_; }
 
  private:
@@ -32,7 +32,7 @@
   // Some machines that may have room, another part of the fleet each time.
   std::vector<uint32_t> Some();
 
-  JobBook* book_;
+  JobStore* job_store_;
   FreeCapacity* free_capacity_;
   const Clock* clock_;
   Roaring open_;  // machines that had some room a moment ago
--- a/src/drain/policy_replicator.cc
+++ b/src/drain/policy_replicator.cc
@@ -48,9 +48,9 @@
 void PolicyReplicator::Read() {
   busy_ = true;
   next_read_ = clock_->Now() + kReadEvery;
-  state_->Get(kKey, [this, asked_at = clock_->Now()](const StateAnswer& answer) {
+  state_->Get(kKey, [this, asked_at = clock_->Now()](const KeyValueResponse& answer) {
     busy_ = false;
-    if (answer.outcome != StateOutcome::kOk) {
+    if (answer.status != KeyValueStatus::kOk) {
       next_read_ = clock_->Now() + kRetryAfter;
       return;
     }
@@ -58,12 +58,12 @@
   });
 }
 
-void PolicyReplicator::Stored(const StateAnswer& answer, double asked_at) {
+void PolicyReplicator::Stored(const KeyValueResponse& answer, double asked_at) {
   if (!answer.found) {
     Write(0);
     return;
   }
-  const KeyValue& row = answer.rows.front();
+  const KeyValue& row = answer.entries.front();
   rapidjson::Document doc;
   uint64_t revision = 0;
   std::string text;
@@ -111,14 +111,14 @@
   txn.preconditions.push_back({kKey, version});
   txn.mutations.push_back({kKey, EncodePolicy(*local_), 0});
   busy_ = true;
-  state_->Commit(txn, [this](const StateAnswer& answer) {
+  state_->Commit(txn, [this](const KeyValueResponse& answer) {
     busy_ = false;
-    if (answer.outcome == StateOutcome::kRejected) {
+    if (answer.status == KeyValueStatus::kInvalid) {
       Complain("the state service rejects the disruption policy");
       return;
     }
     // Written or overtaken: what is stored now is read again.
-    next_read_ = answer.outcome == StateOutcome::kOk ? 0 : clock_->Now() + kRetryAfter;
+    next_read_ = answer.status == KeyValueStatus::kOk ? 0 : clock_->Now() + kRetryAfter;
   });
 }
 
--- a/src/drain/policy_replicator.h
+++ b/src/drain/policy_replicator.h
@@ -9,7 +9,7 @@
 
 #include "drain/policy.h"
 #include "net/clock.h"
-#include "state/state_port.h"
+#include "state/key_value_store.h"
 
 namespace deckhall {
 
@@ -17,7 +17,7 @@
  public:
   static constexpr const char* kKey = "deckhall/disruption";
 
-  PolicyReplicator(StatePort* state, const Clock* clock, const Settings* settings)
+  PolicyReplicator(KeyValueStore* state, const Clock* clock, const Settings* settings)
       : state_(state), clock_(clock), settings_(settings) {}
 
   // The policy of this controller's own file. Without one nothing is read or written.
@@ -35,13 +35,13 @@
 
  private:
   void Read();
-  void Stored(const StateAnswer& answer, double asked_at);
+  void Stored(const KeyValueResponse& answer, double asked_at);
   void Write(uint64_t version);
   // Takes over what another controller stored. False: it is no policy.
   bool Adopt(const std::string& value);
   void Complain(const std::string& what);
 
-  StatePort* state_;
+  KeyValueStore* state_;
   const Clock* clock_;
   const Settings* settings_;
   std::shared_ptr<const DisruptionPolicy> local_;
--- a/src/drain/step_book.cc
+++ b/src/drain/step_book.cc
@@ -4,7 +4,7 @@
 
 namespace deckhall {
 
-bool StepBook::LoadRow(RowId row, const std::string& text) {
+bool StepBook::LoadRow(RecordId row, const std::string& text) {
   StepRecord record;
   if (!DecodeStep(text, &record)) return false;
   loaded_.push_back({row, std::move(record)});
@@ -14,11 +14,12 @@
 void StepBook::FinishLoad() {
   for (const Loaded& loaded : loaded_) {
     const StepRecord& record = loaded.record;
-    const JobIdx j = book_->Find(record.job);
-    const bool live = j != kNone && (*book_)[j].full && (*book_)[j].life == JobLife::kLive &&
-                      record.task < (*book_)[j].tasks.size();
+    const JobIndex j = job_store_->Find(record.job);
+    const bool live = j != kNoIndex && (*job_store_)[j].has_spec &&
+                      (*job_store_)[j].lifecycle == JobLifecycle::kActive &&
+                      record.task < (*job_store_)[j].tasks.size();
     if (!live) {
-      store_->Remove(loaded.row);
+      record_store_->Remove(loaded.row);
       continue;
     }
     DrainStep step;
@@ -35,11 +36,11 @@
   loaded_.clear();
 }
 
-DrainStep& StepBook::Begin(const std::string& drain, JobIdx job, uint32_t task, MachIdx from,
+DrainStep& StepBook::Begin(const std::string& drain, JobIndex job, uint32_t task, MachineIndex from,
                            uint64_t attempt) {
   StepRecord record;
   record.drain = drain;
-  record.job = (*book_)[job].id;
+  record.job = (*job_store_)[job].id;
   record.task = task;
   record.machine = (*fleet_)[from].name;
   record.attempt = attempt;
@@ -52,7 +53,7 @@
   step.from = from;
   step.attempt = attempt;
   step.phase_since = clock_->Now();
-  step.row = store_->Add(text, text.size(), WriteUrgency::kNow);
+  step.row = record_store_->Add(text, text.size(), WritePriority::kImmediate);
   steps_.push_back(std::move(step));
   return steps_.back();
 }
@@ -62,7 +63,7 @@
   step->phase_since = clock_->Now();
 }
 
-bool StepBook::Moving(JobIdx job, uint32_t task) const {
+bool StepBook::Moving(JobIndex job, uint32_t task) const {
   return std::any_of(steps_.begin(), steps_.end(), [job, task](const DrainStep& step) {
     return step.job == job && step.task == task;
   });
--- a/src/drain/step_book.h
+++ b/src/drain/step_book.h
@@ -10,7 +10,7 @@
 #include "drain/drain_records.h"
 #include "drain/wait_reason.h"
 #include "fleet/fleet.h"
-#include "state/row_store.h"
+#include "state/record_store.h"
 
 namespace deckhall {
 
@@ -23,31 +23,31 @@
 
 struct DrainStep {
   std::string drain;
-  JobIdx job = kNone;
+  JobIndex job = kNoIndex;
   uint32_t task = 0;
-  MachIdx from = kNone;  // kNone: not known to this leader
+  MachineIndex from = kNoIndex;  // kNone: not known to this leader
   uint64_t attempt = 0;
   StepPhase phase = StepPhase::kRecording;
   double phase_since = 0;
-  uint32_t tries = 0;     // machines tried for the replacement
-  MachIdx place = kNone;  // where room is held for it
-  RowId row = kNoRow;
+  uint32_t tries = 0;             // machines tried for the replacement
+  MachineIndex place = kNoIndex;  // where room is held for it
+  RecordId row = kNoRecord;
 };
 
 class StepBook {
  public:
-  StepBook(JobBook* book, Fleet* fleet, RowStore* store, const Clock* clock)
-      : book_(book), fleet_(fleet), store_(store), clock_(clock) {}
+  StepBook(JobStore* job_store, Fleet* fleet, RecordStore* record_store, const Clock* clock)
+      : job_store_(job_store), fleet_(fleet), record_store_(record_store), clock_(clock) {}
 
   // Reads one row if it is a step.
-  bool LoadRow(RowId row, const std::string& text);
+  bool LoadRow(RecordId row, const std::string& text);
   // After all rows: steps of jobs that are over are dropped.
   void FinishLoad();
 
   // Begins a step; its row goes out at once.
-  DrainStep& Begin(const std::string& drain, JobIdx job, uint32_t task, MachIdx from,
+  DrainStep& Begin(const std::string& drain, JobIndex job, uint32_t task, MachineIndex from,
                    uint64_t attempt);
-  bool Durable(const DrainStep& step) const { return store_->Durable(step.row); }
+  bool Durable(const DrainStep& step) const { return record_store_->IsDurable(step.row); }
   void SetPhase(DrainStep* step, StepPhase phase);
   // Forgets the steps for which `over` is true.
   template <class Over>
@@ -55,7 +55,7 @@
     std::vector<DrainStep> kept;
     for (DrainStep& step : steps_) {
       if (over(&step)) {
-        store_->Remove(step.row);
+        record_store_->Remove(step.row);
       } else {
         kept.push_back(std::move(step));
       }
@@ -65,18 +65,18 @@
 
   std::vector<DrainStep>& steps() { return steps_; }
   const std::vector<DrainStep>& steps() const { return steps_; }
-  bool Moving(JobIdx job, uint32_t task) const;
+  bool Moving(JobIndex job, uint32_t task) const;
   uint64_t CountOf(const std::string& drain) const;
 
  private:
   struct Loaded {
-    RowId row;
+    RecordId row;
     StepRecord record;
   };
 
-  JobBook* book_;
+  JobStore* job_store_;
   Fleet* fleet_;
-  RowStore* store_;
+  RecordStore* record_store_;
   const Clock* clock_;
   std::vector<DrainStep> steps_;
   std::vector<Loaded> loaded_;
--- a/src/fleet/cache_hints.cc
+++ b/src/fleet/cache_hints.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-bool CacheHints::LoadRow(RowId row, const std::string& text) {
+bool CacheHints::LoadRow(RecordId row, const std::string& text) {
   rapidjson::Document doc;
   if (!ParseJson(text, &doc) || !doc.IsObject()) return false;
   const JsonValue* names = JsonMember(doc, kNamesKey);
@@ -42,20 +42,20 @@
 
 void CacheHints::FinishLoad() {
   for (const auto& [name, images] : loaded_) {
-    const MachIdx mi = fleet_->Find(name);
-    if (mi == kNone) continue;
+    const MachineIndex mi = fleet_->Find(name);
+    if (mi == kNoIndex) continue;
     for (uint32_t i : images) {
       if (i >= loaded_names_.size() || loaded_names_[i].empty()) continue;
-      (*fleet_)[mi].images.push_back(book_->images.Add(loaded_names_[i]));
+      (*fleet_)[mi].cached_images.push_back(job_store_->images.Add(loaded_names_[i]));
     }
   }
   loaded_ = {};
   loaded_names_ = {};
   // What is read is written anew by Save(). Rows made under larger limits go at once:
   // they may fit no page any more.
-  std::erase_if(loaded_rows_, [this](RowId row) {
-    const bool large = store_->TextBytes(row) > row_bytes_;
-    if (large) store_->Remove(row);
+  std::erase_if(loaded_rows_, [this](RecordId row) {
+    const bool large = record_store_->RecordBytes(row) > row_bytes_;
+    if (large) record_store_->Remove(row);
     return large;
   });
 }
@@ -66,45 +66,45 @@
   w.StartObject();
   w.Key(kNamesKey);
   w.StartArray();
-  for (uint32_t i = 0; i < book_->images.size(); ++i) {
-    if (buffer.GetSize() + book_->images[i].size() + 8 > row_bytes_) break;
-    w.String(book_->images[i]);
+  for (uint32_t i = 0; i < job_store_->images.size(); ++i) {
+    if (buffer.GetSize() + job_store_->images[i].size() + 8 > row_bytes_) break;
+    w.String(job_store_->images[i]);
   }
   w.EndArray();
   w.EndObject();
   std::string text(buffer.GetString(), buffer.GetSize());
-  if (names_row_ == kNoRow) {
-    names_row_ = store_->Add(std::move(text), row_bytes_, WriteUrgency::kLazy);
+  if (names_row_ == kNoRecord) {
+    names_row_ = record_store_->Add(std::move(text), row_bytes_, WritePriority::kBackground);
   } else {
-    store_->Set(names_row_, std::move(text), row_bytes_, WriteUrgency::kLazy);
+    record_store_->Update(names_row_, std::move(text), row_bytes_, WritePriority::kBackground);
   }
 }
 
 void CacheHints::Put(size_t at, std::string text) {
   text = std::string("{\"") + kMachinesKey + "\":[" + text + "]}";
   if (at < rows_.size()) {
-    store_->Set(rows_[at], std::move(text), row_bytes_, WriteUrgency::kLazy);
+    record_store_->Update(rows_[at], std::move(text), row_bytes_, WritePriority::kBackground);
   } else {
-    rows_.push_back(store_->Add(std::move(text), row_bytes_, WriteUrgency::kLazy));
+    rows_.push_back(record_store_->Add(std::move(text), row_bytes_, WritePriority::kBackground));
   }
 }
 
 void CacheHints::Save() {
   // Written anew with all the room that they may need: where they were, other rows may
   // have filled the page.
-  for (RowId row : std::exchange(loaded_rows_, {})) store_->Remove(row);
+  for (RecordId row : std::exchange(loaded_rows_, {})) record_store_->Remove(row);
   SaveNames();
   std::string text;
   size_t used = 0;
-  for (MachIdx mi : fleet_->active()) {
+  for (MachineIndex mi : fleet_->active()) {
     const Machine& m = (*fleet_)[mi];
-    if (m.images.empty() || m.returning) continue;
+    if (m.cached_images.empty() || m.scaling_in) continue;
     rapidjson::StringBuffer buffer;
     JsonWriter w(buffer);
     w.StartArray();
     w.String(m.name);
-    const size_t from = m.images.size() - std::min(kMostImages, m.images.size());
-    for (size_t i = from; i < m.images.size(); ++i) w.Uint(m.images[i]);
+    const size_t from = m.cached_images.size() - std::min(kMostImages, m.cached_images.size());
+    for (size_t i = from; i < m.cached_images.size(); ++i) w.Uint(m.cached_images[i]);
     w.EndArray();
     if (text.size() + buffer.GetSize() + 16 > row_bytes_) {
       Put(used++, std::move(text));
--- a/src/fleet/cache_hints.h
+++ b/src/fleet/cache_hints.h
@@ -13,11 +13,11 @@
 class CacheHints {
  public:
   // `row_bytes` is what one row may take.
-  CacheHints(RowStore* store, JobBook* book, Fleet* fleet, size_t row_bytes)
-      : store_(store), book_(book), fleet_(fleet), row_bytes_(row_bytes) {}
+  CacheHints(RecordStore* record_store, JobStore* job_store, Fleet* fleet, size_t row_bytes)
+      : record_store_(record_store), job_store_(job_store), fleet_(fleet), row_bytes_(row_bytes) {}
 
   // Reads one row if it is one of ours.
-  bool LoadRow(RowId row, const std::string& text);
+  bool LoadRow(RecordId row, const std::string& text);
   // After all rows.
   void FinishLoad();
   void Save();
@@ -26,13 +26,13 @@
   void SaveNames();
   void Put(size_t at, std::string text);
 
-  RowStore* store_;
-  JobBook* book_;
+  RecordStore* record_store_;
+  JobStore* job_store_;
   Fleet* fleet_;
   size_t row_bytes_;
-  RowId names_row_ = kNoRow;
-  std::vector<RowId> loaded_rows_;  // they have only the room that they take
-  std::vector<RowId> rows_;
+  RecordId names_row_ = kNoRecord;
+  std::vector<RecordId> loaded_rows_;  // they have only the room that they take
+  std::vector<RecordId> rows_;
   std::vector<std::string> loaded_names_;
   std::vector<std::pair<std::string, std::vector<uint32_t>>> loaded_;
 };
--- a/src/fleet/fleet.cc
+++ b/src/fleet/fleet.cc
@@ -21,7 +21,7 @@
 }
 
 void Remember(std::vector<uint32_t>* images, uint32_t image) {
-  if (image == kNone) return;
+  if (image == kNoIndex) return;
   auto it = std::find(images->begin(), images->end(), image);
   if (it != images->end()) images->erase(it);
   images->push_back(image);
@@ -30,76 +30,77 @@
 
 }  // namespace
 
-Fleet::Fleet(JobBook* book, const Clock* clock, uint64_t term, FleetOptions options)
-    : book_(book),
+Fleet::Fleet(JobStore* job_store, const Clock* clock, uint64_t term, FleetOptions options)
+    : job_store_(job_store),
       clock_(clock),
       term_(term),
       options_(options),
       next_attempt_((term << kTermShift) + 1) {}
 
-MachIdx Fleet::Find(const std::string& name) const {
+MachineIndex Fleet::Find(const std::string& name) const {
   auto it = index_.find(name);
-  return it == index_.end() ? kNone : it->second;
+  return it == index_.end() ? kNoIndex : it->second;
 }
 
-MachIdx Fleet::Add(const std::string& name) {
-  const auto m = static_cast<MachIdx>(machines_.size());
+MachineIndex Fleet::Add(const std::string& name) {
+  const auto m = static_cast<MachineIndex>(machines_.size());
   machines_.emplace_back();
   machines_.back().name = name;
-  machines_.back().token = term_ << kTermShift;
-  machines_.back().known_at = clock_->Now();
+  machines_.back().fencing_token = term_ << kTermShift;
+  machines_.back().discovered_at = clock_->Now();
   index_[name] = m;
   active_.push_back(m);
   return m;
 }
 
-void Fleet::MarkChanged(MachIdx mi) {
-  if (machines_[mi].marked_changed) return;
-  machines_[mi].marked_changed = true;
+void Fleet::MarkChanged(MachineIndex mi) {
+  if (machines_[mi].queued_for_update) return;
+  machines_[mi].queued_for_update = true;
   touched_.push_back(mi);
 }
 
-bool Fleet::TakeChanged(MachIdx* m) {
+bool Fleet::TakeChanged(MachineIndex* m) {
   if (touched_.empty()) return false;
   *m = touched_.front();
   touched_.pop_front();
-  machines_[*m].marked_changed = false;
+  machines_[*m].queued_for_update = false;
   return true;
 }
 
 void Fleet::AllStale() {
-  for (MachIdx m : active_) machines_[m].stale = true;
+  for (MachineIndex m : active_) machines_[m].capacity_stale = true;
   changed = true;
 }
 
-void Fleet::Changed(MachIdx mi) {
-  machines_[mi].stale = true;
+void Fleet::Changed(MachineIndex mi) {
+  machines_[mi].capacity_stale = true;
   changed = true;
   MarkChanged(mi);
 }
 
-void Fleet::NoteChange(const PlacedAttempt& slot) {
-  if (observer != nullptr && slot.service && slot.job != kNone) {
-    observer->ReplicaChanged(slot.job, slot.task);
+void Fleet::NoteChange(const TaskAttempt& slot) {
+  if (observer != nullptr && slot.service && slot.job != kNoIndex) {
+    observer->ReplicaChanged(slot.job, slot.task_index);
   }
 }
 
-void Fleet::NoteEarlyEnd(const PlacedAttempt& slot) {
-  if (observer == nullptr || slot.service || slot.job == kNone || !slot.seen) return;
-  if ((*book_)[slot.job].life == JobLife::kLive) observer->ArrayTaskStopped(slot.job);
+void Fleet::NoteEarlyEnd(const TaskAttempt& slot) {
+  if (observer == nullptr || slot.service || slot.job == kNoIndex || !slot.reported) return;
+  if ((*job_store_)[slot.job].lifecycle == JobLifecycle::kActive)
+    observer->ArrayTaskStopped(slot.job);
 }
 
-PlacedAttempt* Fleet::AttemptOf(MachIdx mi, JobIdx j, uint32_t task, uint64_t attempt) {
-  for (PlacedAttempt& s : machines_[mi].attempts) {
-    if (s.job == j && s.task == task && s.attempt == attempt) return &s;
+TaskAttempt* Fleet::AttemptOf(MachineIndex mi, JobIndex j, uint32_t task, uint64_t attempt) {
+  for (TaskAttempt& s : machines_[mi].attempts) {
+    if (s.job == j && s.task_index == task && s.number == attempt) return &s;
   }
   return nullptr;
 }
 
-PlacedAttempt& Fleet::AddAttempt(MachIdx mi, PlacedAttempt slot) {
+TaskAttempt& Fleet::AddAttempt(MachineIndex mi, TaskAttempt slot) {
   Machine& m = machines_[mi];
-  if (slot.job != kNone) {
-    Job& job = (*book_)[slot.job];
+  if (slot.job != kNoIndex) {
+    Job& job = (*job_store_)[slot.job];
     slot.team = job.team;
     slot.cores = job.spec.cores;
     slot.gpus = job.spec.gpus;
@@ -107,45 +108,45 @@
     slot.service = job.spec.service;
     slot.preemptible =
         !job.spec.service && !job.spec.gang && job.spec.priority < Priority::kProduction;
-    ++job.attempts;
-    job.on.push_back(mi);
+    ++job.attempt_count;
+    job.machines.push_back(mi);
     if (slot.team >= team_use_.size()) team_use_.resize(slot.team + 1);
     team_use_[slot.team].cores += slot.cores;
     team_use_[slot.team].gpus += slot.gpus;
   }
-  ++m.busy;
+  ++m.active_attempts;
   m.used_cores += slot.cores;
   m.used_gpus += slot.gpus;
-  m.used_memory += slot.memory_gb;
+  m.used_memory_gb += slot.memory_gb;
   if (slot.service) m.service_cores += slot.cores;
-  if (slot.preemptible) m.lent_cores += slot.cores;
+  if (slot.preemptible) m.preemptible_cores += slot.cores;
   m.attempts.push_back(std::move(slot));
   NoteChange(m.attempts.back());
   Changed(mi);
   return m.attempts.back();
 }
 
-void Fleet::Vacate(MachIdx mi, PlacedAttempt* slot) {
+void Fleet::Vacate(MachineIndex mi, TaskAttempt* slot) {
   Machine& m = machines_[mi];
-  if (slot->gone) return;
-  slot->gone = true;
+  if (slot->released) return;
+  slot->released = true;
   NoteChange(*slot);
-  --m.busy;
+  --m.active_attempts;
   m.used_cores -= slot->cores;
   m.used_gpus -= slot->gpus;
-  m.used_memory -= slot->memory_gb;
+  m.used_memory_gb -= slot->memory_gb;
   if (slot->service) m.service_cores -= slot->cores;
-  if (slot->preemptible) m.lent_cores -= slot->cores;
-  if (m.busy == 0) {
+  if (slot->preemptible) m.preemptible_cores -= slot->cores;
+  if (m.active_attempts == 0) {
     // Sums of decimal amounts end at nothing, not beside it.
-    m.used_cores = m.used_gpus = m.used_memory = m.service_cores = m.lent_cores = 0;
-  }
-  if (slot->job != kNone) {
-    Job& job = (*book_)[slot->job];
-    auto it = std::find(job.on.begin(), job.on.end(), mi);
-    if (it != job.on.end()) {
-      *it = job.on.back();
-      job.on.pop_back();
+    m.used_cores = m.used_gpus = m.used_memory_gb = m.service_cores = m.preemptible_cores = 0;
+  }
+  if (slot->job != kNoIndex) {
+    Job& job = (*job_store_)[slot->job];
+    auto it = std::find(job.machines.begin(), job.machines.end(), mi);
+    if (it != job.machines.end()) {
+      *it = job.machines.back();
+      job.machines.pop_back();
     }
     team_use_[slot->team].cores -= slot->cores;
     team_use_[slot->team].gpus -= slot->gpus;
@@ -153,67 +154,69 @@
   Changed(mi);
 }
 
-void Fleet::EraseAttempt(MachIdx mi, size_t at) {
+void Fleet::EraseAttempt(MachineIndex mi, size_t at) {
   Machine& m = machines_[mi];
   Vacate(mi, &m.attempts[at]);
-  if (m.attempts[at].job != kNone) --(*book_)[m.attempts[at].job].attempts;
+  if (m.attempts[at].job != kNoIndex) --(*job_store_)[m.attempts[at].job].attempt_count;
   m.attempts.erase(m.attempts.begin() + static_cast<ptrdiff_t>(at));
   Changed(mi);
 }
 
-PlacedAttempt* Fleet::FindAttempt(Machine& m, const TaskStatus& t) {
-  for (PlacedAttempt& s : m.attempts) {
-    if (s.attempt == t.attempt && s.name == t.task_name) return &s;
+TaskAttempt* Fleet::FindAttempt(Machine& m, const TaskStatus& t) {
+  for (TaskAttempt& s : m.attempts) {
+    if (s.number == t.attempt && s.task_name == t.task_name) return &s;
   }
   return nullptr;
 }
 
-bool Fleet::Process(MachIdx mi, const Heartbeat& r) {
+bool Fleet::Process(MachineIndex mi, const Heartbeat& r) {
   Machine& m = machines_[mi];
   const double now = clock_->Now();
   // Reports and answers overtake each other; the larger (session, seq) is newer.
-  if (r.agent_epoch < m.session || (r.agent_epoch == m.session && r.sequence <= m.seq)) {
+  if (r.agent_epoch < m.agent_epoch ||
+      (r.agent_epoch == m.agent_epoch && r.sequence <= m.sequence)) {
     // A late copy, or the word of a worker that began anew under the old name. Only
     // an answer to a question of ours tells them apart.
     constexpr uint64_t kOvertaken = 16;
-    if (r.agent_epoch < m.session || r.sequence + kOvertaken < m.seq ||
-        r.fencing_token < m.seen_token) {
-      m.suspect = true;
+    if (r.agent_epoch < m.agent_epoch || r.sequence + kOvertaken < m.sequence ||
+        r.fencing_token < m.acknowledged_token) {
+      m.suspected = true;
     }
     return false;
   }
-  m.heard_at = now;
-  m.probe_fails = 0;
+  m.last_heard_at = now;
+  m.probe_failures = 0;
   if (!m.up) {
     m.up = true;
     m.up_at = now;
     Changed(mi);
   }
-  if (r.agent_epoch > m.session) {
+  if (r.agent_epoch > m.agent_epoch) {
     if (!m.attempts.empty()) LoseAll(mi, "a new session began there");
     // Its lease ran out, so our answers may not reach it: reports alone are no proof
     // that it hears. It gets nothing before it has shown a token younger than this.
-    ++m.token;
+    ++m.fencing_token;
     Changed(mi);
   }
-  m.session = r.agent_epoch;
-  m.seq = r.sequence;
-  if (!Hears(m) && r.fencing_token >= m.token) {
-    m.hears_at = now;
-    m.failing_since = -1;
-    m.fails = 0;
+  m.agent_epoch = r.agent_epoch;
+  m.sequence = r.sequence;
+  if (!Hears(m) && r.fencing_token >= m.fencing_token) {
+    m.last_acknowledged_at = now;
+    m.unreachable_since = -1;
+    m.unreachable_count = 0;
     Changed(mi);
   }
-  m.seen_token = std::max(m.seen_token, r.fencing_token);
+  m.acknowledged_token = std::max(m.acknowledged_token, r.fencing_token);
   // A token of this term that we never gave out can only be a twin of ours from
   // a message that overtook; stay above it.
-  if (TermOf(r.fencing_token) == term_ && r.fencing_token > m.token) m.token = r.fencing_token;
-  if (r.preemption_notice_s && m.notice_until < 0) {
-    m.notice_until = now + *r.preemption_notice_s;
+  if (TermOf(r.fencing_token) == term_ && r.fencing_token > m.fencing_token)
+    m.fencing_token = r.fencing_token;
+  if (r.preemption_notice_s && m.preemption_at < 0) {
+    m.preemption_at = now + *r.preemption_notice_s;
     Changed(mi);
     spdlog::info("machine {}: the cloud takes it in {} s", m.name, *r.preemption_notice_s);
   }
-  if (!m.accounted) {
+  if (!m.reconciled) {
     // Until the worker has seen this term's token, a former leader's command may
     // still change what is on it.
     if (TermOf(r.fencing_token) < term_) return true;
@@ -222,7 +225,7 @@
   std::vector<char> listed(m.attempts.size(), 0);
   const size_t known = m.attempts.size();
   for (const TaskStatus& t : r.tasks) {
-    PlacedAttempt* slot = FindAttempt(m, t);
+    TaskAttempt* slot = FindAttempt(m, t);
     if (slot == nullptr) {
       Adopt(mi, t);
       continue;
@@ -233,15 +236,15 @@
   }
   for (size_t i = known; i-- > 0;) {
     if (listed[i] != 0) continue;
-    PlacedAttempt& slot = m.attempts[i];
-    if (slot.seen) {
+    TaskAttempt& slot = m.attempts[i];
+    if (slot.reported) {
       // Cleared, or lost there.
-      if (!slot.gone) FreeTask(mi, slot);
+      if (!slot.released) FreeTask(mi, slot);
       EraseAttempt(mi, i);
-    } else if (slot.launch_token == 0 || slot.launch_token < r.fencing_token) {
+    } else if (slot.launch_fencing_token == 0 || slot.launch_fencing_token < r.fencing_token) {
       // Never sent, or the worker's higher token keeps that launch out for good.
-      slot.launch_token = 0;
-      if (!slot.keep) {
+      slot.launch_fencing_token = 0;
+      if (!slot.wanted) {
         FreeTask(mi, slot);
         EraseAttempt(mi, i);
       } else {
@@ -252,41 +255,41 @@
   return true;
 }
 
-void Fleet::ProbeFailed(MachIdx mi) {
+void Fleet::ProbeFailed(MachineIndex mi) {
   Machine& m = machines_[mi];
-  if (m.failing_since < 0) m.failing_since = clock_->Now();
-  ++m.fails;
+  if (m.unreachable_since < 0) m.unreachable_since = clock_->Now();
+  ++m.unreachable_count;
   // The stops did not arrive: the next report gets them.
-  for (PlacedAttempt& s : m.attempts) s.stop_sent = -1e9;
-  m.stale = true;
-  if (m.fails < 2) return;
+  for (TaskAttempt& s : m.attempts) s.stop_sent_at = -1e9;
+  m.capacity_stale = true;
+  if (m.unreachable_count < 2) return;
   // What was never sent there can go elsewhere at once.
   for (size_t i = m.attempts.size(); i-- > 0;) {
-    const PlacedAttempt& s = m.attempts[i];
-    if (s.gone || s.seen || s.launch_token != 0) continue;
+    const TaskAttempt& s = m.attempts[i];
+    if (s.released || s.reported || s.launch_fencing_token != 0) continue;
     FreeTask(mi, s);
     EraseAttempt(mi, i);
   }
 }
 
-void Fleet::BeganAnew(MachIdx mi, const Heartbeat& r) {
+void Fleet::BeganAnew(MachineIndex mi, const Heartbeat& r) {
   Machine& m = machines_[mi];
   spdlog::info("machine {}: its worker began anew (session {}, number {})", m.name, r.agent_epoch,
                r.sequence);
   LoseAll(mi, "its worker began anew");
-  m.session = r.agent_epoch;
-  m.seq = r.sequence - 1;
-  m.seen_token = r.fencing_token;
+  m.agent_epoch = r.agent_epoch;
+  m.sequence = r.sequence - 1;
+  m.acknowledged_token = r.fencing_token;
   Changed(mi);
 }
 
-void Fleet::Answered(MachIdx mi, const Heartbeat& r, Stamp asked) {
+void Fleet::Answered(MachineIndex mi, const Heartbeat& r, Stamp asked) {
   Machine& m = machines_[mi];
-  m.hears_at = clock_->Now();
-  m.failing_since = -1;
-  m.fails = 0;
-  m.suspect = false;
-  m.probe_fails = 0;
+  m.last_acknowledged_at = clock_->Now();
+  m.unreachable_since = -1;
+  m.unreachable_count = 0;
+  m.suspected = false;
+  m.probe_failures = 0;
   // The worker we knew would have counted on from what we had seen before we asked.
   const bool older =
       r.agent_epoch < asked.session || (r.agent_epoch == asked.session && r.sequence <= asked.seq);
@@ -294,129 +297,131 @@
   Process(mi, r);
 }
 
-void Fleet::RecountRunning(PlacedAttempt* slot, bool now_running) {
+void Fleet::RecountRunning(TaskAttempt* slot, bool now_running) {
   const bool before = slot->running_since >= 0;
-  if (before == now_running || slot->job == kNone) return;
+  if (before == now_running || slot->job == kNoIndex) return;
   NoteChange(*slot);
-  Job& job = (*book_)[slot->job];
+  Job& job = (*job_store_)[slot->job];
   if (now_running) {
     slot->running_since = clock_->Now();
-    job.gang_started = job.gang_started || slot->attempt >= job.gang_attempt;
-    ++job.running;
+    job.gang_started = job.gang_started || slot->number >= job.gang_attempt;
+    ++job.tasks_running;
   } else {
     slot->running_since = -1;
-    if (job.running > 0) --job.running;
+    if (job.tasks_running > 0) --job.tasks_running;
   }
 }
 
-void Fleet::Apply(MachIdx mi, PlacedAttempt* slot, const TaskStatus& t) {
+void Fleet::Apply(MachineIndex mi, TaskAttempt* slot, const TaskStatus& t) {
   Machine& m = machines_[mi];
-  slot->seen = true;
-  if (slot->gone) return;
+  slot->reported = true;
+  if (slot->released) return;
   if (slot->state != t.state) {
-    spdlog::debug("{} on {} is in state {}", slot->name, m.name, static_cast<int>(t.state));
+    spdlog::debug("{} on {} is in state {}", slot->task_name, m.name, static_cast<int>(t.state));
   }
   if (slot->state != t.state) {
-    machines_[mi].stale = true;
+    machines_[mi].capacity_stale = true;
     NoteChange(*slot);
   }
   slot->state = t.state;
-  if (slot->job != kNone && t.state != TaskState::kFetching &&
+  if (slot->job != kNoIndex && t.state != TaskState::kFetching &&
       t.exit_reason != ExitReason::kNoRoom && t.exit_reason != ExitReason::kInUse &&
       t.exit_reason != ExitReason::kUnknown) {
-    Remember(&m.images, (*book_)[slot->job].image);
+    Remember(&m.cached_images, (*job_store_)[slot->job].image);
   }
   if (t.state == TaskState::kRunning) RecountRunning(slot, true);
   if (t.state == TaskState::kExited) {
-    slot->why = t.exit_reason;
+    slot->exit_reason = t.exit_reason;
     Exited(mi, slot);
   }
 }
 
-void Fleet::Adopt(MachIdx mi, const TaskStatus& t) {
+void Fleet::Adopt(MachineIndex mi, const TaskStatus& t) {
   Machine& m = machines_[mi];
-  PlacedAttempt slot;
-  slot.name = t.task_name;
-  slot.attempt = t.attempt;
-  slot.seen = true;
+  TaskAttempt slot;
+  slot.task_name = t.task_name;
+  slot.number = t.attempt;
+  slot.reported = true;
   slot.launched_at = clock_->Now();
   std::string id;
   uint32_t task = 0;
-  const JobIdx j = SplitTask(t.task_name, &id, &task) ? book_->Find(id) : kNone;
-  const bool known = j != kNone && (*book_)[j].full && task < (*book_)[j].tasks.size();
+  const JobIndex j = SplitTask(t.task_name, &id, &task) ? job_store_->Find(id) : kNoIndex;
+  const bool known =
+      j != kNoIndex && (*job_store_)[j].has_spec && task < (*job_store_)[j].tasks.size();
   if (known) {
-    const Job& job = (*book_)[j];
+    const Job& job = (*job_store_)[j];
     slot.job = j;
-    slot.task = task;
+    slot.task_index = task;
     const TaskPhase phase = job.tasks[task].phase;
-    const bool open = phase == TaskPhase::kUnseen || phase == TaskPhase::kWaiting;
-    slot.keep = open && job.life == JobLife::kLive;
+    const bool open = phase == TaskPhase::kUnreconciled || phase == TaskPhase::kWaiting;
+    slot.wanted = open && job.lifecycle == JobLifecycle::kActive;
     // A task that ended as done is done wherever it was; the rest of the books
     // follow in Exited().
     // An attempt that ended without success tells nothing of a later one, which may
     // run on a machine not accounted for yet: the task stays unseen.
     if (open && t.state != TaskState::kExited) {
-      book_->Place(j, task, mi, t.attempt);
-      (*book_)[j].starved_since = clock_->Now();
+      job_store_->MarkPlaced(j, task, mi, t.attempt);
+      (*job_store_)[j].starved_since = clock_->Now();
     }
   } else {
-    slot.keep = false;
+    slot.wanted = false;
   }
-  if (!slot.keep && t.state != TaskState::kExited) {
+  if (!slot.wanted && t.state != TaskState::kExited) {
     spdlog::info("machine {}: {} (attempt {}) is not wanted there", m.name, t.task_name, t.attempt);
   }
   Apply(mi, &AddAttempt(mi, std::move(slot)), t);
 }
 
-void Fleet::FreeTask(MachIdx mi, const PlacedAttempt& slot) {
-  if (slot.job == kNone) return;
-  Job& job = (*book_)[slot.job];
-  if (slot.running_since >= 0 && job.running > 0) --job.running;
-  if (!job.full) return;
-  const Task& t = job.tasks[slot.task];
-  if (t.phase == TaskPhase::kPlaced && t.machine == mi && t.attempt == slot.attempt) {
-    if (job.waiting.empty()) job.waiting_since = clock_->Now();
-    book_->Unplace(slot.job, slot.task);
+void Fleet::FreeTask(MachineIndex mi, const TaskAttempt& slot) {
+  if (slot.job == kNoIndex) return;
+  Job& job = (*job_store_)[slot.job];
+  if (slot.running_since >= 0 && job.tasks_running > 0) --job.tasks_running;
+  if (!job.has_spec) return;
+  const Task& t = job.tasks[slot.task_index];
+  if (t.phase == TaskPhase::kPlaced && t.machine == mi && t.attempt == slot.number) {
+    if (job.waiting_tasks.empty()) job.waiting_since = clock_->Now();
+    job_store_->MarkWaiting(slot.job, slot.task_index);
   }
 }
 
-void Fleet::Exited(MachIdx mi, PlacedAttempt* slot) {
+void Fleet::Exited(MachineIndex mi, TaskAttempt* slot) {
   Machine& m = machines_[mi];
   Vacate(mi, slot);
-  spdlog::debug("{} on {} exited, why {}", slot->name, m.name, static_cast<int>(slot->why));
-  if (slot->job != kNone && (*book_)[slot->job].full) {
-    Job& job = (*book_)[slot->job];
-    Task& t = job.tasks[slot->task];
-    if (slot->why == ExitReason::kDone && !job.spec.service) {
+  spdlog::debug("{} on {} exited, why {}", slot->task_name, m.name,
+                static_cast<int>(slot->exit_reason));
+  if (slot->job != kNoIndex && (*job_store_)[slot->job].has_spec) {
+    Job& job = (*job_store_)[slot->job];
+    Task& t = job.tasks[slot->task_index];
+    if (slot->exit_reason == ExitReason::kDone && !job.spec.service) {
       if (!job.spec.gang && t.phase == TaskPhase::kPlaced &&
-          (t.machine != mi || t.attempt != slot->attempt)) {
+          (t.machine != mi || t.attempt != slot->number)) {
         // Done here while another attempt is wanted elsewhere: that one goes.
-        for (PlacedAttempt& other : machines_[t.machine].attempts) {
-          if (other.job == slot->job && other.task == slot->task && !other.gone) {
+        for (TaskAttempt& other : machines_[t.machine].attempts) {
+          if (other.job == slot->job && other.task_index == slot->task_index && !other.released) {
             Unwant(t.machine, &other, 0);
           }
         }
       }
       if (job.spec.gang) {
         // The tasks of a gang complete together. Once is enough: each of them says so.
-        if (job.done < job.tasks.size()) {
-          book_->AllDone(slot->job);
+        if (job.tasks_done < job.tasks.size()) {
+          job_store_->MarkAllTasksDone(slot->job);
           UnwantUnseen(slot->job);
         }
       } else {
-        book_->Done(slot->job, slot->task);
+        job_store_->MarkTaskDone(slot->job, slot->task_index);
       }
-      if (job.life == JobLife::kLive) {
-        if (job.done == job.tasks.size()) {
-          const double late = book_->Lateness(slot->job, clock_->Wall());
+      if (job.lifecycle == JobLifecycle::kActive) {
+        if (job.tasks_done == job.tasks.size()) {
+          const double late = job_store_->SecondsPastDeadline(slot->job, clock_->Wall());
           if (late > 0) {
             spdlog::info("job {} is done, {:.1f} s past its deadline", job.id, late);
           } else {
             spdlog::info("job {} is done", job.id);
           }
-          book_->End(slot->job, JobLife::kDone, clock_->Now());
+          job_store_->EndJob(slot->job, JobLifecycle::kDone, clock_->Now());
         } else {
-          book_->Save(slot->job, WriteUrgency::kLazy);
+          job_store_->Save(slot->job, WritePriority::kBackground);
         }
       }
     } else {
@@ -428,54 +433,54 @@
   RecountRunning(slot, false);
 }
 
-void Fleet::Place(MachIdx mi, JobIdx j, uint32_t task, uint64_t attempt, bool passed) {
+void Fleet::Place(MachineIndex mi, JobIndex j, uint32_t task, uint64_t attempt, bool passed) {
   Machine& m = machines_[mi];
-  const Job& job = (*book_)[j];
-  PlacedAttempt slot;
+  const Job& job = (*job_store_)[j];
+  TaskAttempt slot;
   slot.job = j;
-  slot.task = task;
-  slot.attempt = attempt;
-  slot.passed = passed;
-  slot.name = job.id + "/" + std::to_string(task);
+  slot.task_index = task;
+  slot.number = attempt;
+  slot.placed_by_aging = passed;
+  slot.task_name = job.id + "/" + std::to_string(task);
   slot.launched_at = clock_->Now();
-  book_->Place(j, task, mi, slot.attempt);
-  (*book_)[j].starved_since = clock_->Now();
-  spdlog::debug("{} goes to {} (attempt {})", slot.name, m.name, slot.attempt);
+  job_store_->MarkPlaced(j, task, mi, slot.number);
+  (*job_store_)[j].starved_since = clock_->Now();
+  spdlog::debug("{} goes to {} (attempt {})", slot.task_name, m.name, slot.number);
   AddAttempt(mi, std::move(slot));
 }
 
-void Fleet::Unwant(MachIdx mi, PlacedAttempt* slot, double grace_s) {
+void Fleet::Unwant(MachineIndex mi, TaskAttempt* slot, double grace_s) {
   MarkChanged(mi);
-  if (!slot->keep && grace_s >= slot->grace_s) return;
-  if (!slot->keep) slot->stop_sent = -1e9;  // a shorter grace is told at once
-  if (slot->keep) NoteEarlyEnd(*slot);
-  slot->keep = false;
+  if (!slot->wanted && grace_s >= slot->grace_period_s) return;
+  if (!slot->wanted) slot->stop_sent_at = -1e9;  // a shorter grace is told at once
+  if (slot->wanted) NoteEarlyEnd(*slot);
+  slot->wanted = false;
   NoteChange(*slot);
-  slot->grace_s = grace_s;
+  slot->grace_period_s = grace_s;
 }
 
-void Fleet::UnwantJob(JobIdx j) {
-  const std::vector<MachIdx> on = (*book_)[j].on;
-  for (MachIdx m : on) {
-    for (PlacedAttempt& s : machines_[m].attempts) {
-      if (s.job == j && !s.gone) Unwant(m, &s, 0);
+void Fleet::UnwantJob(JobIndex j) {
+  const std::vector<MachineIndex> on = (*job_store_)[j].machines;
+  for (MachineIndex m : on) {
+    for (TaskAttempt& s : machines_[m].attempts) {
+      if (s.job == j && !s.released) Unwant(m, &s, 0);
     }
   }
 }
 
-void Fleet::UnwantUnseen(JobIdx j) {
-  for (MachIdx m : (*book_)[j].on) {
-    for (PlacedAttempt& s : machines_[m].attempts) {
-      if (s.job == j && !s.gone && !s.seen) Unwant(m, &s, 0);
+void Fleet::UnwantUnseen(JobIndex j) {
+  for (MachineIndex m : (*job_store_)[j].machines) {
+    for (TaskAttempt& s : machines_[m].attempts) {
+      if (s.job == j && !s.released && !s.reported) Unwant(m, &s, 0);
     }
   }
 }
 
-bool Fleet::MayForget(const PlacedAttempt& s) const {
-  if (!s.gone) return false;
+bool Fleet::MayForget(const TaskAttempt& s) const {
+  if (!s.released) return false;
   // A finished task is durable before its machine forgets it.
-  if (s.why != ExitReason::kDone || s.job == kNone) return true;
-  return book_->TaskDurable(s.job, s.task);
+  if (s.exit_reason != ExitReason::kDone || s.job == kNoIndex) return true;
+  return job_store_->IsTaskDurable(s.job, s.task_index);
 }
 
 std::vector<Command> Fleet::StopsOfEnded(const Heartbeat& report) const {
@@ -484,93 +489,93 @@
     std::string id;
     uint32_t task = 0;
     if (t.state == TaskState::kExited || !SplitTask(t.task_name, &id, &task)) continue;
-    const JobIdx j = book_->Find(id);
-    if (j == kNone || (*book_)[j].life == JobLife::kLive) continue;
+    const JobIndex j = job_store_->Find(id);
+    if (j == kNoIndex || (*job_store_)[j].lifecycle == JobLifecycle::kActive) continue;
     out.push_back({CommandOp::kStop, t.task_name, t.attempt, 0});
   }
   return out;
 }
 
-bool Fleet::HasCommands(MachIdx mi, bool launch) const {
+bool Fleet::HasCommands(MachineIndex mi, bool launch) const {
   const Machine& m = machines_[mi];
-  if (m.seen_token < m.token) return true;
+  if (m.acknowledged_token < m.fencing_token) return true;
   const double now = clock_->Now();
   // What ended takes no room: it is cleared with the next command or report.
-  for (const PlacedAttempt& s : m.attempts) {
-    if (s.gone) continue;
-    if (!s.keep) {
-      if (!s.seen || now - s.stop_sent > kStopAgain) return true;
-    } else if (!s.seen && launch) {
+  for (const TaskAttempt& s : m.attempts) {
+    if (s.released) continue;
+    if (!s.wanted) {
+      if (!s.reported || now - s.stop_sent_at > kStopAgain) return true;
+    } else if (!s.reported && launch) {
       return true;
     }
   }
   return false;
 }
 
-Command Fleet::StopOf(PlacedAttempt* s) const {
+Command Fleet::StopOf(TaskAttempt* s) const {
   const double now = clock_->Now();
-  if (s->stop_first < 0) s->stop_first = now;
+  if (s->first_stop_sent_at < 0) s->first_stop_sent_at = now;
   // Told long ago and still there: no more time to save.
-  const bool late = now - s->stop_first > s->grace_s + kStopAgain;
-  return {CommandOp::kStop, s->name, s->attempt, late ? 0 : s->grace_s};
+  const bool late = now - s->first_stop_sent_at > s->grace_period_s + kStopAgain;
+  return {CommandOp::kStop, s->task_name, s->number, late ? 0 : s->grace_period_s};
 }
 
-std::vector<Command> Fleet::Commands(MachIdx mi, bool launch) {
+std::vector<Command> Fleet::Commands(MachineIndex mi, bool launch) {
   Machine& m = machines_[mi];
   const double now = clock_->Now();
   std::vector<Command> out;
-  if (!m.accounted) return out;
+  if (!m.reconciled) return out;
   for (size_t i = m.attempts.size(); i-- > 0;) {
-    const PlacedAttempt& s = m.attempts[i];
-    if (s.keep || s.seen) continue;
-    if (s.launch_token == 0) {
+    const TaskAttempt& s = m.attempts[i];
+    if (s.wanted || s.reported) continue;
+    if (s.launch_fencing_token == 0) {
       FreeTask(mi, s);
       EraseAttempt(mi, i);
-    } else if (s.launch_token == m.token) {
+    } else if (s.launch_fencing_token == m.fencing_token) {
       // Its launch may still come; a higher token shuts it out.
-      ++m.token;
+      ++m.fencing_token;
     }
   }
-  for (PlacedAttempt& s : m.attempts) {
-    if (s.gone && MayForget(s)) {
-      out.push_back({CommandOp::kAcknowledgeExit, s.name, s.attempt, 0});
-    } else if (!s.gone && !s.keep && s.seen && now - s.stop_sent > kStopAgain) {
+  for (TaskAttempt& s : m.attempts) {
+    if (s.released && MayForget(s)) {
+      out.push_back({CommandOp::kAcknowledgeExit, s.task_name, s.number, 0});
+    } else if (!s.released && !s.wanted && s.reported && now - s.stop_sent_at > kStopAgain) {
       out.push_back(StopOf(&s));
-      s.stop_sent = now;
+      s.stop_sent_at = now;
     }
   }
   // A machine that has not shown that it hears gets nothing new.
   if (!launch || !Hears(m)) return out;
-  for (PlacedAttempt& s : m.attempts) {
-    if (s.gone || !s.keep || s.seen) continue;
-    out.push_back({CommandOp::kStart, s.name, s.attempt, 0});
-    s.launch_token = m.token;
+  for (TaskAttempt& s : m.attempts) {
+    if (s.released || !s.wanted || s.reported) continue;
+    out.push_back({CommandOp::kStart, s.task_name, s.number, 0});
+    s.launch_fencing_token = m.fencing_token;
   }
   return out;
 }
 
-std::vector<Command> Fleet::Stops(MachIdx mi) {
+std::vector<Command> Fleet::Stops(MachineIndex mi) {
   std::vector<Command> out;
-  for (PlacedAttempt& s : machines_[mi].attempts) {
-    if (!s.gone && !s.keep && s.seen) out.push_back(StopOf(&s));
+  for (TaskAttempt& s : machines_[mi].attempts) {
+    if (!s.released && !s.wanted && s.reported) out.push_back(StopOf(&s));
   }
   return out;
 }
 
-void Fleet::Unanswered(MachIdx mi) {
+void Fleet::Unanswered(MachineIndex mi) {
   // Late commands die of the higher token. Without it a launch could come after
   // its attempt was cleared, and start once more.
-  ++machines_[mi].token;
+  ++machines_[mi].fencing_token;
   Changed(mi);
 }
 
-void Fleet::LoseAll(MachIdx mi, const char* why) {
+void Fleet::LoseAll(MachineIndex mi, const char* why) {
   Machine& m = machines_[mi];
   size_t lost = 0;
   for (size_t i = m.attempts.size(); i-- > 0;) {
-    if (!m.attempts[i].gone) {
+    if (!m.attempts[i].released) {
       ++lost;
-      if (m.attempts[i].keep) NoteEarlyEnd(m.attempts[i]);
+      if (m.attempts[i].wanted) NoteEarlyEnd(m.attempts[i]);
       FreeTask(mi, m.attempts[i]);
     }
     EraseAttempt(mi, i);
@@ -579,43 +584,44 @@
   Changed(mi);
 }
 
-void Fleet::MarkGone(MachIdx mi, const char* why) {
+void Fleet::MarkGone(MachineIndex mi, const char* why) {
   Machine& m = machines_[mi];
-  if (m.gone) return;
+  if (m.removed) return;
   LoseAll(mi, why);
   Account(mi);
-  m.gone = true;
-  m.images.clear();
+  m.removed = true;
+  m.cached_images.clear();
   active_.erase(std::find(active_.begin(), active_.end(), mi));
   changed = true;
   spdlog::info("machine {} is gone: {}", m.name, why);
 }
 
-void Fleet::Account(MachIdx mi) {
+void Fleet::Account(MachineIndex mi) {
   Machine& m = machines_[mi];
-  if (m.accounted) return;
-  m.accounted = true;
+  if (m.reconciled) return;
+  m.reconciled = true;
   Changed(mi);
-  if (m.may_hold) on_accounted();
+  if (m.may_run_former_attempts) on_accounted();
 }
 
 uint32_t Fleet::Unaccounted() const {
-  return static_cast<uint32_t>(std::count_if(active_.begin(), active_.end(), [this](MachIdx m) {
-    return machines_[m].may_hold && !machines_[m].accounted;
-  }));
+  return static_cast<uint32_t>(
+      std::count_if(active_.begin(), active_.end(), [this](MachineIndex m) {
+        return machines_[m].may_run_former_attempts && !machines_[m].reconciled;
+      }));
 }
 
 bool Fleet::LeaseOver(const Machine& m, double now, double term_began) const {
   const double lease = options_.lease_s * (1 + options_.drift) + 0.5;
-  if (m.accounted) return now > std::max(m.answered_at, m.heard_at) + lease;
+  if (m.reconciled) return now > std::max(m.lease_renewed_at, m.last_heard_at) + lease;
   // Unless a former leader said that it does not.
-  if (m.unanswered_since >= 0 &&
-      clock_->Wall() > m.unanswered_since + lease + 2 * options_.wall_bound_s) {
+  if (m.unrenewed_since_wall >= 0 &&
+      clock_->Wall() > m.unrenewed_since_wall + lease + 2 * options_.wall_bound_s) {
     return true;
   }
   // A former leader may have answered it until its hold was over.
   const double last =
-      std::max(m.answered_at, term_began + options_.former_grace_s * (1 + options_.drift));
+      std::max(m.lease_renewed_at, term_began + options_.former_grace_s * (1 + options_.drift));
   return now > last + lease;
 }
 
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -10,7 +10,7 @@
 
 #include "fleet/model.h"
 #include "net/clock.h"
-#include "state/job_book.h"
+#include "state/job_store.h"
 
 namespace deckhall {
 
@@ -41,76 +41,76 @@
  public:
   virtual ~DisruptionObserver() = default;
   // The condition of a replica may have changed.
-  virtual void ReplicaChanged(JobIdx j, uint32_t task) = 0;
+  virtual void ReplicaChanged(JobIndex j, uint32_t task) = 0;
   // A task of an array that has not ended was lost or told to stop.
-  virtual void ArrayTaskStopped(JobIdx j) = 0;
+  virtual void ArrayTaskStopped(JobIndex j) = 0;
   // A job was accepted, or is over.
-  virtual void JobChanged(JobIdx j) = 0;
+  virtual void JobChanged(JobIndex j) = 0;
 };
 
 class Fleet {
  public:
-  Fleet(JobBook* book, const Clock* clock, uint64_t term, FleetOptions options);
+  Fleet(JobStore* job_store, const Clock* clock, uint64_t term, FleetOptions options);
 
-  MachIdx Find(const std::string& name) const;
-  MachIdx Add(const std::string& name);
-  Machine& operator[](MachIdx m) { return machines_[m]; }
-  const Machine& operator[](MachIdx m) const { return machines_[m]; }
+  MachineIndex Find(const std::string& name) const;
+  MachineIndex Add(const std::string& name);
+  Machine& operator[](MachineIndex m) { return machines_[m]; }
+  const Machine& operator[](MachineIndex m) const { return machines_[m]; }
   uint32_t size() const { return static_cast<uint32_t>(machines_.size()); }
   // Those that are not gone, in the order they became known.
-  const std::vector<MachIdx>& active() const { return active_; }
+  const std::vector<MachineIndex>& active() const { return active_; }
 
   // Takes in a report or a command's answer. False when it is older than what is
   // known already.
-  bool Process(MachIdx m, const Heartbeat& report);
+  bool Process(MachineIndex m, const Heartbeat& report);
   // The same for an answer to a question asked when `asked` was the newest known:
   // shows that the machine hears, and whether its worker began anew meanwhile.
-  void Answered(MachIdx m, const Heartbeat& report, Stamp asked);
-  Stamp StampOf(MachIdx m) const { return {machines_[m].session, machines_[m].seq}; }
+  void Answered(MachineIndex m, const Heartbeat& report, Stamp asked);
+  Stamp StampOf(MachineIndex m) const { return {machines_[m].agent_epoch, machines_[m].sequence}; }
   // A question stayed unanswered.
-  void ProbeFailed(MachIdx m);
+  void ProbeFailed(MachineIndex m);
   // Has shown that it heard the token it would get commands with.
-  static bool Hears(const Machine& m) { return m.seen_token >= m.token; }
+  static bool Hears(const Machine& m) { return m.acknowledged_token >= m.fencing_token; }
   // Has shown a token of this term: a former leader's answers don't reach it any more.
-  bool Ours(const Machine& m) const { return TermOf(m.seen_token) == term_; }
+  bool Ours(const Machine& m) const { return TermOf(m.acknowledged_token) == term_; }
   // Puts a task there; the launch goes out with the next commands.
-  void Place(MachIdx m, JobIdx job, uint32_t task, uint64_t attempt, bool passed = false);
+  void Place(MachineIndex m, JobIndex job, uint32_t task, uint64_t attempt, bool passed = false);
   // A number never used for an attempt before.
   uint64_t NewAttempt() { return next_attempt_++; }
   // The attempt, if it is there and was not cleared; null otherwise.
-  PlacedAttempt* AttemptOf(MachIdx m, JobIdx j, uint32_t task, uint64_t attempt);
+  TaskAttempt* AttemptOf(MachineIndex m, JobIndex j, uint32_t task, uint64_t attempt);
   // Wants the slot gone.
-  void Unwant(MachIdx m, PlacedAttempt* slot, double grace_s);
-  void UnwantJob(JobIdx job);
+  void Unwant(MachineIndex m, TaskAttempt* slot, double grace_s);
+  void UnwantJob(JobIndex job);
   // What to tell the machine now. Launches only if `launch`.
-  std::vector<Command> Commands(MachIdx m, bool launch);
+  std::vector<Command> Commands(MachineIndex m, bool launch);
   // The stops alone, told before or not: an earlier one may be lost on its way.
-  std::vector<Command> Stops(MachIdx m);
+  std::vector<Command> Stops(MachineIndex m);
   // Stops for what the report lists of jobs that are over, whoever started it.
   std::vector<Command> StopsOfEnded(const Heartbeat& report) const;
   // True when there is something to tell it.
-  bool HasCommands(MachIdx m, bool launch) const;
+  bool HasCommands(MachineIndex m, bool launch) const;
   // An answer to a command is missing: what was sent may still come.
-  void Unanswered(MachIdx m);
+  void Unanswered(MachineIndex m);
   // Nothing is on it any more.
-  void LoseAll(MachIdx m, const char* why);
-  void MarkGone(MachIdx m, const char* why);
+  void LoseAll(MachineIndex m, const char* why);
+  void MarkGone(MachineIndex m, const char* why);
   // Machines that an earlier leader's tasks may be on, not accounted for yet.
   uint32_t Unaccounted() const;
-  void Account(MachIdx m);
+  void Account(MachineIndex m);
   // The lease surely ran out: whatever was on it was killed by the worker.
   bool LeaseOver(const Machine& m, double now, double term_began) const;
 
   // What the tasks of each team take, by the team's index.
   const std::vector<Use>& team_use() const { return team_use_; }
   // Machines about which something changed: each is handed out once.
-  bool TakeChanged(MachIdx* m);
-  void MarkChanged(MachIdx m);
+  bool TakeChanged(MachineIndex* m);
+  void MarkChanged(MachineIndex m);
   // The picture of every machine's room is out of date.
   void AllStale();
 
   // A task ended; `slot.why` tells how. Called after the books were changed.
-  std::function<void(MachIdx, const PlacedAttempt&)> on_exit;
+  std::function<void(MachineIndex, const TaskAttempt&)> on_exit;
   // A machine that an earlier leader used is accounted for.
   std::function<void()> on_accounted = [] {};
   // May be null.
@@ -119,35 +119,35 @@
   bool changed = false;
 
  private:
-  PlacedAttempt* FindAttempt(Machine& m, const TaskStatus& t);
-  void Adopt(MachIdx m, const TaskStatus& t);
-  void Apply(MachIdx m, PlacedAttempt* slot, const TaskStatus& t);
-  void Exited(MachIdx m, PlacedAttempt* slot);
-  void FreeTask(MachIdx m, const PlacedAttempt& slot);
-  void RecountRunning(PlacedAttempt* slot, bool now_running);
-  bool MayForget(const PlacedAttempt& slot) const;
+  TaskAttempt* FindAttempt(Machine& m, const TaskStatus& t);
+  void Adopt(MachineIndex m, const TaskStatus& t);
+  void Apply(MachineIndex m, TaskAttempt* slot, const TaskStatus& t);
+  void Exited(MachineIndex m, TaskAttempt* slot);
+  void FreeTask(MachineIndex m, const TaskAttempt& slot);
+  void RecountRunning(TaskAttempt* slot, bool now_running);
+  bool MayForget(const TaskAttempt& slot) const;
   // What was not seen of a job that is done is not to be launched again.
-  void UnwantUnseen(JobIdx job);
-  PlacedAttempt& AddAttempt(MachIdx m, PlacedAttempt slot);
+  void UnwantUnseen(JobIndex job);
+  TaskAttempt& AddAttempt(MachineIndex m, TaskAttempt slot);
   // The slot takes no room any more.
-  void Vacate(MachIdx m, PlacedAttempt* slot);
-  void EraseAttempt(MachIdx m, size_t at);
-  Command StopOf(PlacedAttempt* slot) const;
-  void Changed(MachIdx m);
+  void Vacate(MachineIndex m, TaskAttempt* slot);
+  void EraseAttempt(MachineIndex m, size_t at);
+  Command StopOf(TaskAttempt* slot) const;
+  void Changed(MachineIndex m);
   // Tells the observer that the attempt's condition changed, or that it was ended early.
-  void NoteChange(const PlacedAttempt& slot);
-  void NoteEarlyEnd(const PlacedAttempt& slot);
-  void BeganAnew(MachIdx m, const Heartbeat& report);
+  void NoteChange(const TaskAttempt& slot);
+  void NoteEarlyEnd(const TaskAttempt& slot);
+  void BeganAnew(MachineIndex m, const Heartbeat& report);
 
-  JobBook* book_;
+  JobStore* job_store_;
   const Clock* clock_;
   uint64_t term_;
   FleetOptions options_;
   std::vector<Machine> machines_;
-  std::vector<MachIdx> active_;
-  std::deque<MachIdx> touched_;
+  std::vector<MachineIndex> active_;
+  std::deque<MachineIndex> touched_;
   std::vector<Use> team_use_;
-  std::unordered_map<std::string, MachIdx> index_;
+  std::unordered_map<std::string, MachineIndex> index_;
   uint64_t next_attempt_;
 };
 
--- a/src/leader/election.cc
+++ b/src/leader/election.cc
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-Election::Election(StatePort* state, const Clock* clock, ElectionOptions options)
+Election::Election(KeyValueStore* state, const Clock* clock, ElectionOptions options)
     : state_(state), clock_(clock), options_(std::move(options)), random_(options_.instance) {}
 
 void Election::Retry(double after_s) {
@@ -52,15 +52,15 @@
 void Election::Look() {
   busy_ = true;
   const uint64_t epoch = ++epoch_;
-  state_->Get(kKey, [this, epoch](const StateAnswer& answer) {
+  state_->Get(kKey, [this, epoch](const KeyValueResponse& answer) {
     if (epoch != epoch_) return;
     busy_ = false;
     Seen(answer);
   });
 }
 
-void Election::Seen(const StateAnswer& answer) {
-  if (answer.outcome != StateOutcome::kOk) {
+void Election::Seen(const KeyValueResponse& answer) {
+  if (answer.status != KeyValueStatus::kOk) {
     Retry(0.3);
     return;
   }
@@ -72,7 +72,7 @@
     Retry(0.03);
     return;
   }
-  const KeyValue& row = answer.rows[0];
+  const KeyValue& row = answer.entries[0];
   if (on_known) on_known(row.version);
   rapidjson::Document doc;
   std::string label;
@@ -97,7 +97,7 @@
     // An earlier process under our own label: it ended, or we could not have its
     // address. Its lease need not run out.
     spdlog::info("term {} was held by this node's earlier process: ending its lease", row.version);
-    state_->Drop(lease, [](const StateAnswer&) {});
+    state_->RevokeLease(lease, [](const KeyValueResponse&) {});
     Retry(0.02);
     return;
   }
@@ -109,17 +109,17 @@
   busy_ = true;
   const uint64_t epoch = ++epoch_;
   const double began = clock_->Now();
-  state_->Watch(kKey, revision, kHoldMs, [this, epoch, began](const StateAnswer& answer) {
+  state_->Watch(kKey, revision, kHoldMs, [this, epoch, began](const KeyValueResponse& answer) {
     if (epoch != epoch_) return;
     busy_ = false;
     // Whatever came, the key itself says who holds it.
     stage_ = Stage::kLooking;
     const bool quick = clock_->Now() - began < 0.1;
-    if (answer.outcome == StateOutcome::kOk && !quick) {
+    if (answer.status == KeyValueStatus::kOk && !quick) {
       next_ = 0;
       Look();
     } else {
-      Retry(answer.outcome == StateOutcome::kOk ? 0.05 : 0.3);
+      Retry(answer.status == KeyValueStatus::kOk ? 0.05 : 0.3);
     }
   });
 }
@@ -128,10 +128,10 @@
   busy_ = true;
   const uint64_t epoch = ++epoch_;
   const double sent = clock_->Now();
-  state_->Grant(options_.ttl_ms, [this, epoch, sent](const StateAnswer& answer) {
+  state_->GrantLease(options_.ttl_ms, [this, epoch, sent](const KeyValueResponse& answer) {
     if (epoch != epoch_) return;
     busy_ = false;
-    if (answer.outcome != StateOutcome::kOk) {
+    if (answer.status != KeyValueStatus::kOk) {
       stage_ = Stage::kLooking;
       Retry(0.3);
       return;
@@ -149,10 +149,10 @@
   Transaction txn;
   txn.preconditions.push_back({kKey, 0});
   txn.mutations.push_back({kKey, Holder(options_, lease), lease});
-  state_->Commit(txn, [this, epoch](const StateAnswer& answer) {
+  state_->Commit(txn, [this, epoch](const KeyValueResponse& answer) {
     if (epoch != epoch_) return;
     busy_ = false;
-    if (answer.outcome == StateOutcome::kOk) {
+    if (answer.status == KeyValueStatus::kOk) {
       trusted_until_ = granted_at_ + options_.ttl_ms / 1000.0 * (1 - options_.drift);
       Won(answer.number);
       return;
@@ -160,7 +160,7 @@
     // Lost, or not known: the key tells. A claim that is applied late dies with
     // its lease, which nobody renews.
     stage_ = Stage::kLooking;
-    Retry(answer.outcome == StateOutcome::kConflict ? 0.02 : 0.1);
+    Retry(answer.status == KeyValueStatus::kConflict ? 0.02 : 0.1);
   });
 }
 
@@ -183,18 +183,19 @@
   next_ = sent + options_.renew_s;
   ++renewing_;
   const uint64_t epoch = epoch_;
-  state_->Extend(lease_, options_.ttl_ms / 1000.0 * 0.6, [this, epoch, sent](const StateAnswer& a) {
-    if (epoch != epoch_) return;
-    --renewing_;
-    if (a.outcome == StateOutcome::kOk) {
-      const double until = sent + options_.ttl_ms / 1000.0 * (1 - options_.drift);
-      trusted_until_ = std::max(trusted_until_, until);
-    } else if (a.outcome == StateOutcome::kConflict) {
-      Abdicate("the lease is gone");
-    } else {
-      next_ = std::min(next_, clock_->Now() + 0.15);
-    }
-  });
+  state_->KeepAliveLease(
+      lease_, options_.ttl_ms / 1000.0 * 0.6, [this, epoch, sent](const KeyValueResponse& a) {
+        if (epoch != epoch_) return;
+        --renewing_;
+        if (a.status == KeyValueStatus::kOk) {
+          const double until = sent + options_.ttl_ms / 1000.0 * (1 - options_.drift);
+          trusted_until_ = std::max(trusted_until_, until);
+        } else if (a.status == KeyValueStatus::kConflict) {
+          Abdicate("the lease is gone");
+        } else {
+          next_ = std::min(next_, clock_->Now() + 0.15);
+        }
+      });
 }
 
 void Election::StepDown(const char* why, double pause_s) {
@@ -202,7 +203,7 @@
   const uint64_t lease = lease_;
   not_before_ = clock_->Now() + pause_s;
   Abdicate(why);
-  state_->Drop(lease, [](const StateAnswer&) {});
+  state_->RevokeLease(lease, [](const KeyValueResponse&) {});
 }
 
 void Election::Abdicate(const char* why) {
--- a/src/leader/election.h
+++ b/src/leader/election.h
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "net/clock.h"
-#include "state/state_port.h"
+#include "state/key_value_store.h"
 
 namespace deckhall {
 
@@ -25,7 +25,7 @@
  public:
   static constexpr const char* kKey = "deckhall/leader";
 
-  Election(StatePort* state, const Clock* clock, ElectionOptions options);
+  Election(KeyValueStore* state, const Clock* clock, ElectionOptions options);
 
   void Tick();
   // Holds the key as far as it knows, though perhaps no longer by its clock.
@@ -54,7 +54,7 @@
   enum class Stage { kLooking, kWatching, kGranting, kClaiming, kHolding };
 
   void Look();
-  void Seen(const StateAnswer& answer);
+  void Seen(const KeyValueResponse& answer);
   void Watch(uint64_t revision);
   void RunForIt();
   void Claim(uint64_t lease, double sent);
@@ -62,7 +62,7 @@
   void Renew();
   void Retry(double after_s);
 
-  StatePort* state_;
+  KeyValueStore* state_;
   const Clock* clock_;
   ElectionOptions options_;
   std::mt19937_64 random_;
--- a/src/leader/free_capacity.cc
+++ b/src/leader/free_capacity.cc
@@ -12,12 +12,13 @@
 
 }  // namespace
 
-FreeCapacity::FreeCapacity(JobBook* book, Fleet* fleet, Rentals* rentals, RowStore* store,
-                           const Clock* clock, const Settings* settings, const Tuning* tuning)
-    : book_(book),
+FreeCapacity::FreeCapacity(JobStore* job_store, Fleet* fleet, Rentals* rentals,
+                           RecordStore* record_store, const Clock* clock, const Settings* settings,
+                           const Tuning* tuning)
+    : job_store_(job_store),
       fleet_(fleet),
       rentals_(rentals),
-      store_(store),
+      record_store_(record_store),
       clock_(clock),
       settings_(settings),
       tuning_(tuning) {}
@@ -28,29 +29,31 @@
 
 bool FreeCapacity::MayBeOn(const Job& job, const Machine& m) {
   if (m.spot && !job.spec.spot_tolerant) return false;
-  if (job.zone != kNone && m.zone != kNone && job.zone != m.zone) return false;
-  if (job.types.empty() || m.type == kNone) return true;
-  return m.type < job.types.size() && job.types[m.type] != 0;
+  if (job.required_zone != kNoIndex && m.zone != kNoIndex && job.required_zone != m.zone)
+    return false;
+  if (job.allowed_types.empty() || m.type == kNoIndex) return true;
+  return m.type < job.allowed_types.size() && job.allowed_types[m.type] != 0;
 }
 
 bool FreeCapacity::Usable(const Machine& m) const {
   const double now = clock_->Now();
   // Reports alone are no proof that it hears: a machine whose commands get lost
   // would be given tasks again and again.
-  return m.up && m.accounted && !m.gone && !m.drain && !m.cordoned && !m.cut &&
-         m.unanswered_since < 0 && !m.returning && m.notice_until < 0 && Fleet::Hears(m) &&
-         m.fails < 2 && m.row != kNoRow && !m.endpoint.empty() && store_->Durable(m.row) &&
-         now >= m.sick_until && now >= m.no_room_until && HeardLately(m);
+  return m.up && m.reconciled && !m.removed && !m.unschedulable && !m.cordoned && !m.partitioned &&
+         m.unrenewed_since_wall < 0 && !m.scaling_in && m.preemption_at < 0 && Fleet::Hears(m) &&
+         m.unreachable_count < 2 && m.record_id != kNoRecord && !m.endpoint.empty() &&
+         record_store_->IsDurable(m.record_id) && now >= m.quarantined_until &&
+         now >= m.no_room_until && HeardLately(m);
 }
 
 bool FreeCapacity::HeardLately(const Machine& m) const {
   const double most = std::max(tuning_->silent_s, settings_->report_s * 1.6);
-  return clock_->Now() - m.heard_at < most;
+  return clock_->Now() - m.last_heard_at < most;
 }
 
-void FreeCapacity::Remake(MachIdx mi) {
+void FreeCapacity::Remake(MachineIndex mi) {
   Machine& m = (*fleet_)[mi];
-  m.stale = false;
+  m.capacity_stale = false;
   ++steps;
   Node& n = nodes_[mi];
   n.machine = mi;
@@ -61,7 +64,7 @@
     n.total_cores = type->cores;
     n.cores = type->cores - m.used_cores;
     n.gpus = type->gpus - m.used_gpus;
-    n.memory_gb = type->memory_gb - m.used_memory;
+    n.memory_gb = type->memory_gb - m.used_memory_gb;
     n.fetch_gb_per_s = type->fetch_gb_per_s;
   } else {
     n.total_cores = n.cores = n.gpus = n.memory_gb = 0;
@@ -72,23 +75,24 @@
     n.memory_gb -= held->second.memory_gb;
   }
   n.coming.clear();
-  for (const PlacedAttempt& s : m.attempts) {
-    if (s.gone || !s.keep || s.job == kNone || (s.seen && s.state != TaskState::kFetching)) {
+  for (const TaskAttempt& s : m.attempts) {
+    if (s.released || !s.wanted || s.job == kNoIndex ||
+        (s.reported && s.state != TaskState::kFetching)) {
       continue;
     }
-    n.coming.push_back((*book_)[s.job].image);
+    n.coming.push_back((*job_store_)[s.job].image);
   }
 }
 
-void FreeCapacity::HoldRoom(MachIdx m, const Job& job) {
+void FreeCapacity::HoldRoom(MachineIndex m, const Job& job) {
   Amounts& held = held_[m];
   held.cores += job.spec.cores;
   held.gpus += job.spec.gpus;
   held.memory_gb += job.spec.memory_gb;
-  (*fleet_)[m].stale = true;
+  (*fleet_)[m].capacity_stale = true;
 }
 
-void FreeCapacity::ReleaseRoom(MachIdx m, const Job& job) {
+void FreeCapacity::ReleaseRoom(MachineIndex m, const Job& job) {
   auto it = held_.find(m);
   if (it == held_.end()) return;
   it->second.cores -= job.spec.cores;
@@ -96,32 +100,32 @@
   it->second.memory_gb -= job.spec.memory_gb;
   // Sums of decimal amounts end beside nothing.
   if (it->second.memory_gb < kEps && it->second.cores < kEps) held_.erase(it);
-  (*fleet_)[m].stale = true;
+  (*fleet_)[m].capacity_stale = true;
 }
 
-const Node& FreeCapacity::Current(MachIdx mi) {
+const Node& FreeCapacity::Current(MachineIndex mi) {
   if (nodes_.size() <= mi) nodes_.resize(fleet_->size());
   const Machine& m = (*fleet_)[mi];
-  if (m.stale) Remake(mi);
+  if (m.capacity_stale) Remake(mi);
   Node& n = nodes_[mi];
-  n.images = &m.images;  // machines may have moved in memory
+  n.images = &m.cached_images;  // machines may have moved in memory
   n.usable = n.total_cores > 0 && Usable(m);
   return n;
 }
 
 void FreeCapacity::Refresh() {
-  if (teams_.size() < book_->teams.size()) {
-    teams_.assign(book_->teams.size(), nullptr);
+  if (teams_.size() < job_store_->teams.size()) {
+    teams_.assign(job_store_->teams.size(), nullptr);
     for (const Team& t : settings_->teams) {
-      const uint32_t at = book_->teams.Find(t.name);
-      if (at != kNone) teams_[at] = &t;
+      const uint32_t at = job_store_->teams.Find(t.name);
+      if (at != kNoIndex) teams_[at] = &t;
     }
   }
   nodes_.resize(fleet_->size());
   free_ordinary_ = free_spot_ = lent_reserve_ = capacity_ = 0;
   double most = 0;
   double services = 0;
-  for (MachIdx mi : fleet_->active()) {
+  for (MachineIndex mi : fleet_->active()) {
     const Machine& m = (*fleet_)[mi];
     const Node& n = Current(mi);
     if (m.up) capacity_ += n.total_cores;
@@ -129,12 +133,12 @@
     services += m.service_cores;
     if (!n.usable) continue;
     (m.spot ? free_spot_ : free_ordinary_) += std::max(0.0, n.cores);
-    if (!m.spot) lent_reserve_ += m.lent_cores;
+    if (!m.spot) lent_reserve_ += m.preemptible_cores;
   }
   capacity_ = std::max(capacity_, 1.0);
   unit_cores_ = unit_memory_ = 0;
-  for (JobIdx j : book_->live()) {
-    const Job& job = (*book_)[j];
+  for (JobIndex j : job_store_->active_jobs()) {
+    const Job& job = (*job_store_)[j];
     if (!job.spec.service) continue;
     unit_cores_ = std::max(unit_cores_, job.spec.cores);
     unit_memory_ = std::max(unit_memory_, job.spec.memory_gb);
@@ -155,12 +159,12 @@
 double FreeCapacity::Threatened() const {
   double cores = 0;
   if (std::find(cut_.begin(), cut_.end(), 1) == cut_.end()) return cores;
-  for (MachIdx mi : fleet_->active()) {
-    if ((*fleet_)[mi].cut) cores += (*fleet_)[mi].service_cores;
+  for (MachineIndex mi : fleet_->active()) {
+    if ((*fleet_)[mi].partitioned) cores += (*fleet_)[mi].service_cores;
   }
-  for (JobIdx j : book_->live()) {
-    const Job& job = (*book_)[j];
-    if (job.spec.service) cores += job.unseen * job.spec.cores;
+  for (JobIndex j : job_store_->active_jobs()) {
+    const Job& job = (*job_store_)[j];
+    if (job.spec.service) cores += job.tasks_unreconciled * job.spec.cores;
   }
   return cores;
 }
@@ -175,12 +179,12 @@
 
 void FreeCapacity::CountUse() {
   use_ = fleet_->team_use();
-  use_.resize(book_->teams.size());
+  use_.resize(job_store_->teams.size());
   Use hidden;
   bool any_hidden = false;
-  for (MachIdx mi : fleet_->active()) {
+  for (MachineIndex mi : fleet_->active()) {
     const Machine& m = (*fleet_)[mi];
-    if (!m.may_hold || m.accounted) continue;
+    if (!m.may_run_former_attempts || m.reconciled) continue;
     any_hidden = true;
     const MachineType* type = rentals_->TypeOf(m.type);
     hidden.cores += type == nullptr ? kNoLimit : type->cores;
@@ -188,17 +192,17 @@
   }
   if (!any_hidden) return;
   // Tasks that may be on machines not accounted for count against their team.
-  std::vector<Use> unseen(book_->teams.size());
-  auto add = [this, &unseen](const std::vector<JobIdx>& list) {
-    for (JobIdx j : list) {
-      const Job& job = (*book_)[j];
-      if (!job.full || job.unseen == 0) continue;
-      unseen[job.team].cores += job.unseen * job.spec.cores;
-      unseen[job.team].gpus += job.unseen * job.spec.gpus;
+  std::vector<Use> unseen(job_store_->teams.size());
+  auto add = [this, &unseen](const std::vector<JobIndex>& list) {
+    for (JobIndex j : list) {
+      const Job& job = (*job_store_)[j];
+      if (!job.has_spec || job.tasks_unreconciled == 0) continue;
+      unseen[job.team].cores += job.tasks_unreconciled * job.spec.cores;
+      unseen[job.team].gpus += job.tasks_unreconciled * job.spec.gpus;
     }
   };
-  add(book_->live());
-  add(book_->ended_jobs());
+  add(job_store_->active_jobs());
+  add(job_store_->ended_jobs());
   for (size_t t = 0; t < use_.size(); ++t) {
     use_[t].cores += std::min(unseen[t].cores, hidden.cores);
     use_[t].gpus += std::min(unseen[t].gpus, hidden.gpus);
@@ -224,12 +228,12 @@
                             std::vector<char>* zones) const {
   if (!job.spec.single_zone && !job.spec.anti_affinity) return true;
   // A task that may be on an unknown machine is in an unknown zone.
-  if (job.unseen > 0) return false;
-  zones->assign(book_->zones.size(), 1);
-  std::vector<uint32_t> count(book_->zones.size(), 0);
+  if (job.tasks_unreconciled > 0) return false;
+  zones->assign(job_store_->zones.size(), 1);
+  std::vector<uint32_t> count(job_store_->zones.size(), 0);
   for (uint32_t m : on) {
     const uint32_t z = (*fleet_)[m].zone;
-    if (z != kNone) ++count[z];
+    if (z != kNoIndex) ++count[z];
   }
   const auto most = static_cast<uint32_t>((job.tasks.size() + 1) / 2);
   for (size_t z = 0; z < zones->size(); ++z) {
@@ -245,17 +249,17 @@
   n.cores = job.spec.cores;
   n.gpus = job.spec.gpus;
   n.memory_gb = job.spec.memory_gb;
-  n.types = job.types.empty() ? nullptr : &job.types;
-  n.zone = job.zone;
+  n.types = job.allowed_types.empty() ? nullptr : &job.allowed_types;
+  n.zone = job.required_zone;
   n.spot_ok = job.spec.spot_tolerant;
   n.service = job.spec.service;
   n.gang = job.spec.gang;
   // A replica that never ran and has waited for long, as at a cold start.
   n.patient =
-      n.service && job.placed == 0 && clock_->Now() - job.waiting_since > tuning_->patient_s;
+      n.service && job.tasks_placed == 0 && clock_->Now() - job.waiting_since > tuning_->patient_s;
   n.image = job.image;
   n.image_gb = job.spec.image_gb;
-  n.avoid = job.failed_on.empty() ? nullptr : &job.failed_on;
+  n.avoid = job.failed_machines.empty() ? nullptr : &job.failed_machines;
   n.siblings = siblings.empty() ? nullptr : &siblings;
   n.zones = zones.empty() ? nullptr : &zones;
   return n;
@@ -274,7 +278,7 @@
 
 std::vector<uint32_t> FreeCapacity::Open(double least_cores) const {
   std::vector<uint32_t> open;
-  for (MachIdx mi : fleet_->active()) {
+  for (MachineIndex mi : fleet_->active()) {
     const Node& n = nodes_[mi];
     if (n.usable && n.cores + kEps >= least_cores) open.push_back(mi);
   }
--- a/src/leader/free_capacity.h
+++ b/src/leader/free_capacity.h
@@ -16,8 +16,8 @@
 
 class FreeCapacity {
  public:
-  FreeCapacity(JobBook* book, Fleet* fleet, Rentals* rentals, RowStore* store, const Clock* clock,
-               const Settings* settings, const Tuning* tuning);
+  FreeCapacity(JobStore* job_store, Fleet* fleet, Rentals* rentals, RecordStore* record_store,
+               const Clock* clock, const Settings* settings, const Tuning* tuning);
 
   // Takes in what changed since the last call.
   void Refresh();
@@ -57,10 +57,10 @@
   // Cores of all machines that are up.
   double capacity() const { return capacity_; }
   // Room for one task of the job there is kept from everybody else.
-  void HoldRoom(MachIdx m, const Job& job);
-  void ReleaseRoom(MachIdx m, const Job& job);
+  void HoldRoom(MachineIndex m, const Job& job);
+  void ReleaseRoom(MachineIndex m, const Job& job);
   // The machine's node, as it is now.
-  const Node& Current(MachIdx m);
+  const Node& Current(MachineIndex m);
   // Cores that drains will need elsewhere: machines that have them are not given back as idle.
   void SetRoomAhead(double cores) { room_ahead_ = cores; }
   double room_ahead() const { return room_ahead_; }
@@ -74,14 +74,14 @@
   uint64_t steps = 0;
 
  private:
-  void Remake(MachIdx m);
+  void Remake(MachineIndex m);
   void CountUse();
   double Threatened() const;
 
-  JobBook* book_;
+  JobStore* job_store_;
   Fleet* fleet_;
   Rentals* rentals_;
-  RowStore* store_;
+  RecordStore* record_store_;
   const Clock* clock_;
   const Settings* settings_;
   const Tuning* tuning_;
@@ -89,7 +89,7 @@
   std::vector<Use> use_;
   std::vector<const Team*> teams_;  // by team index
   std::vector<char> cut_;
-  std::unordered_map<MachIdx, Amounts> held_;
+  std::unordered_map<MachineIndex, Amounts> held_;
   double room_ahead_ = 0;
   double free_ordinary_ = 0;
   double free_spot_ = 0;
--- a/src/leader/gang_keeper.cc
+++ b/src/leader/gang_keeper.cc
@@ -19,28 +19,28 @@
 
 }  // namespace
 
-GangKeeper::GangKeeper(JobBook* book, Fleet* fleet, const Ranking* ranking, const Clock* clock,
-                       const Settings* settings)
-    : book_(book), fleet_(fleet), ranking_(ranking), clock_(clock), settings_(settings) {}
+GangKeeper::GangKeeper(JobStore* job_store, Fleet* fleet, const Ranking* ranking,
+                       const Clock* clock, const Settings* settings)
+    : job_store_(job_store), fleet_(fleet), ranking_(ranking), clock_(clock), settings_(settings) {}
 
-void GangKeeper::ForEach(JobIdx j, const Visit& visit) {
-  std::vector<uint32_t> machines = (*book_)[j].on;
+void GangKeeper::ForEach(JobIndex j, const Visit& visit) {
+  std::vector<uint32_t> machines = (*job_store_)[j].machines;
   std::sort(machines.begin(), machines.end());
   machines.erase(std::unique(machines.begin(), machines.end()), machines.end());
-  for (MachIdx mi : machines) {
-    for (PlacedAttempt& slot : (*fleet_)[mi].attempts) {
-      if (slot.job == j && !slot.gone) visit(mi, &slot);
+  for (MachineIndex mi : machines) {
+    for (TaskAttempt& slot : (*fleet_)[mi].attempts) {
+      if (slot.job == j && !slot.released) visit(mi, &slot);
     }
   }
 }
 
-GangKeeper::Attempt GangKeeper::Look(JobIdx j) {
+GangKeeper::Attempt GangKeeper::Look(JobIndex j) {
   Attempt attempt;
-  ForEach(j, [&attempt](MachIdx, PlacedAttempt* slot) {
-    if (slot->keep) attempt.number = std::max(attempt.number, slot->attempt);
+  ForEach(j, [&attempt](MachineIndex, TaskAttempt* slot) {
+    if (slot->wanted) attempt.number = std::max(attempt.number, slot->number);
   });
-  ForEach(j, [&attempt](MachIdx, PlacedAttempt* slot) {
-    if (slot->attempt != attempt.number) return;
+  ForEach(j, [&attempt](MachineIndex, TaskAttempt* slot) {
+    if (slot->number != attempt.number) return;
     attempt.saving = attempt.saving || slot->state == TaskState::kCheckpointing;
     if (slot->running_since < 0) return;
     attempt.running_since = std::max(attempt.running_since, slot->running_since);
@@ -49,10 +49,10 @@
   return attempt;
 }
 
-void GangKeeper::TaskEnded(const PlacedAttempt& slot) {
-  Job& job = (*book_)[slot.job];
-  if (!job.spec.gang || slot.attempt != job.gang_attempt) return;
-  switch (slot.why) {
+void GangKeeper::TaskEnded(const TaskAttempt& slot) {
+  Job& job = (*job_store_)[slot.job];
+  if (!job.spec.gang || slot.number != job.gang_attempt) return;
+  switch (slot.exit_reason) {
     // Refused before it was there: another machine may take it.
     case ExitReason::kNoRoom:
     case ExitReason::kInUse:
@@ -64,54 +64,54 @@
   }
 }
 
-void GangKeeper::Stop(JobIdx j, double grace_s, const char* why) {
+void GangKeeper::Stop(JobIndex j, double grace_s, const char* why) {
   size_t stopped = 0;
-  ForEach(j, [this, grace_s, &stopped](MachIdx mi, PlacedAttempt* slot) {
-    if (!slot->keep) return;
+  ForEach(j, [this, grace_s, &stopped](MachineIndex mi, TaskAttempt* slot) {
+    if (!slot->wanted) return;
     fleet_->Unwant(mi, slot, grace_s);
     ++stopped;
   });
   if (stopped == 0) return;
   fleet_->changed = true;
-  spdlog::info("stopping {} tasks of gang {}: {}", stopped, (*book_)[j].id, why);
+  spdlog::info("stopping {} tasks of gang {}: {}", stopped, (*job_store_)[j].id, why);
 }
 
 bool GangKeeper::TooLateToComplete(const Job& job) const {
   const double now = clock_->Now();
   return now - job.waiting_since > kReplaceWithin ||
-         now - job.gathering_since > settings_->gang_wait_s - kLeastToGather;
+         now - job.gang_waiting_since > settings_->gang_wait_s - kLeastToGather;
 }
 
-void GangKeeper::Check(JobIdx j) {
-  Job& job = (*book_)[j];
+void GangKeeper::Check(JobIndex j) {
+  Job& job = (*job_store_)[j];
   const Attempt attempt = Look(j);
   if (attempt.number == 0) return;
   if (attempt.number != job.gang_attempt) {
     // Started by an earlier leader.
     job.gang_attempt = attempt.number;
-    job.gathering_since = clock_->Now();
+    job.gang_waiting_since = clock_->Now();
     job.gang_started = job.gang_broken = false;
   }
   job.gang_started = job.gang_started || attempt.started;
-  ForEach(j, [this, &attempt](MachIdx mi, PlacedAttempt* slot) {
+  ForEach(j, [this, &attempt](MachineIndex mi, TaskAttempt* slot) {
     // What is left of an attempt before never comes together again.
-    if (slot->keep && slot->attempt != attempt.number) fleet_->Unwant(mi, slot, 0);
+    if (slot->wanted && slot->number != attempt.number) fleet_->Unwant(mi, slot, 0);
   });
   if (attempt.saving) {
     // A stop that an earlier leader did not finish: all tasks must be told soon.
     Stop(j, job.spec.checkpoint_grace_s + kSaveMargin, "others of them save already");
-  } else if (job.gang_broken || (job.gang_started && !job.waiting.empty())) {
+  } else if (job.gang_broken || (job.gang_started && !job.waiting_tasks.empty())) {
     // They would notice it later and end all the same.
     Stop(j, 0, "a task of the gang is gone");
-  } else if (!job.waiting.empty() && TooLateToComplete(job)) {
+  } else if (!job.waiting_tasks.empty() && TooLateToComplete(job)) {
     Stop(j, 0, "no room for a lost task in time");
   }
 }
 
 void GangKeeper::Tick() {
-  for (JobIdx j : book_->live()) {
-    const Job& job = (*book_)[j];
-    if (job.spec.gang && job.placed > 0) Check(j);
+  for (JobIndex j : job_store_->active_jobs()) {
+    const Job& job = (*job_store_)[j];
+    if (job.spec.gang && job.tasks_placed > 0) Check(j);
   }
 }
 
@@ -120,14 +120,14 @@
          spec.checkpoint_grace_s + kSaveMargin <= settings_->gang_peer_s;
 }
 
-void GangKeeper::StopWhole(JobIdx j, const char* why) {
-  const JobSpec& spec = (*book_)[j].spec;
+void GangKeeper::StopWhole(JobIndex j, const char* why) {
+  const JobSpec& spec = (*job_store_)[j].spec;
   Stop(j, Saves(spec) ? spec.checkpoint_grace_s + kSaveMargin : 0, why);
 }
 
-void GangKeeper::MachineTaken(MachIdx mi, PlacedAttempt* slot, double seconds_left) {
-  const JobIdx j = slot->job;
-  const Job& job = (*book_)[j];
+void GangKeeper::MachineTaken(MachineIndex mi, TaskAttempt* slot, double seconds_left) {
+  const JobIndex j = slot->job;
+  const Job& job = (*job_store_)[j];
   const Attempt attempt = Look(j);
   if (!job.gang_started) {
     // It is replaced while the others gather.
--- a/src/leader/gang_keeper.h
+++ b/src/leader/gang_keeper.h
@@ -14,17 +14,17 @@
 
 class GangKeeper {
  public:
-  GangKeeper(JobBook* book, Fleet* fleet, const Ranking* ranking, const Clock* clock,
+  GangKeeper(JobStore* job_store, Fleet* fleet, const Ranking* ranking, const Clock* clock,
              const Settings* settings);
 
   // A task of the gang ended there.
-  void TaskEnded(const PlacedAttempt& slot);
+  void TaskEnded(const TaskAttempt& slot);
   // Looks at all gangs that are on machines.
   void Tick();
   // Stops all of the gang, with time to save if all of its tasks can.
-  void StopWhole(JobIdx j, const char* why);
+  void StopWhole(JobIndex j, const char* why);
   // The cloud takes a machine away that holds this task of a gang.
-  void MachineTaken(MachIdx mi, PlacedAttempt* slot, double seconds_left);
+  void MachineTaken(MachineIndex mi, TaskAttempt* slot, double seconds_left);
 
  private:
   // What is known of the present attempt.
@@ -35,19 +35,19 @@
     double running_since = -1;
   };
 
-  using Visit = std::function<void(MachIdx, PlacedAttempt*)>;
+  using Visit = std::function<void(MachineIndex, TaskAttempt*)>;
   // Calls `visit` for each attempt of the job that takes room on a machine.
-  void ForEach(JobIdx j, const Visit& visit);
-  Attempt Look(JobIdx j);
-  void Check(JobIdx j);
+  void ForEach(JobIndex j, const Visit& visit);
+  Attempt Look(JobIndex j);
+  void Check(JobIndex j);
   // Whether all of it can save before its tasks notice that others are gone.
   bool Saves(const JobSpec& spec) const;
   // A lost task is not replaced any more.
   bool TooLateToComplete(const Job& job) const;
   // Stops all of it that is still wanted.
-  void Stop(JobIdx j, double grace_s, const char* why);
+  void Stop(JobIndex j, double grace_s, const char* why);
 
-  JobBook* book_;
+  JobStore* job_store_;
   Fleet* fleet_;
   const Ranking* ranking_;
   const Clock* clock_;
--- a/src/leader/gang_placer.cc
+++ b/src/leader/gang_placer.cc
@@ -14,20 +14,20 @@
 
 }  // namespace
 
-GangPlacer::GangPlacer(JobBook* book, Fleet* fleet, FreeCapacity* free_capacity,
+GangPlacer::GangPlacer(JobStore* job_store, Fleet* fleet, FreeCapacity* free_capacity,
                        Preemption* preemption, const Clock* clock, const Tuning* tuning)
-    : book_(book),
+    : job_store_(job_store),
       fleet_(fleet),
       free_capacity_(free_capacity),
       preemption_(preemption),
       clock_(clock),
       tuning_(tuning) {}
 
-void GangPlacer::Place(JobIdx j, const std::vector<uint32_t>& open) {
-  const Job& job = (*book_)[j];
-  if (!job.acknowledged || job.waiting.empty() || job.unseen > 0) return;
+void GangPlacer::Place(JobIndex j, const std::vector<uint32_t>& open) {
+  const Job& job = (*job_store_)[j];
+  if (!job.acknowledged || job.waiting_tasks.empty() || job.tasks_unreconciled > 0) return;
   if (clock_->Now() < job.backoff_until) return;
-  if (job.placed > 0) {
+  if (job.tasks_placed > 0) {
     // An attempt that may have started is never completed, it ends.
     const bool gathers = job.gang_attempt != 0 && !job.gang_started && !job.gang_broken;
     if (gathers) Complete(j, open);
@@ -35,15 +35,15 @@
   }
   // The attempt before is over when its last task is: until then those count on their
   // machines and in their zones.
-  if (job.on.empty()) Start(j, open);
+  if (job.machines.empty()) Start(j, open);
 }
 
 std::vector<std::vector<char>> GangPlacer::ZoneSets(const Job& job) const {
-  if (!job.spec.single_zone) return {std::vector<char>(book_->zones.size(), 1)};
+  if (!job.spec.single_zone) return {std::vector<char>(job_store_->zones.size(), 1)};
   std::vector<std::vector<char>> sets;
-  for (uint32_t zone = 0; zone < book_->zones.size(); ++zone) {
-    if (job.zone != kNone && job.zone != zone) continue;
-    sets.emplace_back(book_->zones.size(), 0);
+  for (uint32_t zone = 0; zone < job_store_->zones.size(); ++zone) {
+    if (job.required_zone != kNoIndex && job.required_zone != zone) continue;
+    sets.emplace_back(job_store_->zones.size(), 0);
     sets.back()[zone] = 1;
   }
   return sets;
@@ -67,7 +67,7 @@
 
 bool GangPlacer::Find(const Job& job, const std::vector<char>& zones,
                       const std::vector<uint32_t>& open, Plan* plan) {
-  const size_t count = job.waiting.size();
+  const size_t count = job.waiting_tasks.size();
   std::vector<char> allowed = zones;
   const Need need = free_capacity_->NeedOf(job, allowed, plan->nodes);
   Picker picker(&need, &free_capacity_->nodes(), open);
@@ -88,16 +88,17 @@
   return plan->nodes.size() == count;
 }
 
-void GangPlacer::Put(JobIdx j, uint32_t node) {
-  Job& job = (*book_)[j];
-  fleet_->Place(node, j, job.waiting.back(), job.gang_attempt);
+void GangPlacer::Put(JobIndex j, uint32_t node) {
+  Job& job = (*job_store_)[j];
+  fleet_->Place(node, j, job.waiting_tasks.back(), job.gang_attempt);
   free_capacity_->Take(job, node);
   (*fleet_)[node].idle_since = -1;
 }
 
-void GangPlacer::Start(JobIdx j, const std::vector<uint32_t>& open) {
-  Job& job = (*book_)[j];
-  if (job.waiting.size() < job.tasks.size() || !free_capacity_->TeamRoom(job, job.tasks.size()))
+void GangPlacer::Start(JobIndex j, const std::vector<uint32_t>& open) {
+  Job& job = (*job_store_)[j];
+  if (job.waiting_tasks.size() < job.tasks.size() ||
+      !free_capacity_->TeamRoom(job, job.tasks.size()))
     return;
   const std::vector<std::vector<char>> zone_sets = ZoneSets(job);
   Plan best;
@@ -116,50 +117,50 @@
   if (best.last_start > tuning_->gang_long_fetch_s && MakeRoomAtImage(j, best, zone_sets)) return;
   // Its tasks find each other by their attempt: one number for all of them.
   job.gang_attempt = fleet_->NewAttempt();
-  job.gathering_since = clock_->Now();
+  job.gang_waiting_since = clock_->Now();
   job.gang_started = job.gang_broken = false;
   for (uint32_t node : best.nodes) Put(j, node);
 }
 
 // As for replicas: no more work is lost than the fetch would hold up.
-bool GangPlacer::MakeRoomAtImage(JobIdx j, const Plan& otherwise,
+bool GangPlacer::MakeRoomAtImage(JobIndex j, const Plan& otherwise,
                                  const std::vector<std::vector<char>>& zone_sets) {
-  const Job& job = (*book_)[j];
+  const Job& job = (*job_store_)[j];
   // What is stopped is gone sooner than the image would be there.
   if (clock_->Now() - job.waiting_since > tuning_->gang_long_fetch_s / 2) return false;
   // Machines on which it failed count as if they started it late; that is no fetch.
-  if (!job.failed_on.empty()) return false;
+  if (!job.failed_machines.empty()) return false;
   Preemption::Request request;
   request.job = j;
   request.image_here = true;
   request.most_loss = tuning_->stop_for_image * otherwise.last_start * job.spec.cores;
-  const std::vector<MachIdx> machines = preemption_->MakeGangRoom(request, zone_sets);
-  for (MachIdx mi : machines) free_capacity_->nodes()[mi].usable = false;
+  const std::vector<MachineIndex> machines = preemption_->MakeGangRoom(request, zone_sets);
+  for (MachineIndex mi : machines) free_capacity_->nodes()[mi].usable = false;
   return !machines.empty();
 }
 
-bool GangPlacer::WasThere(JobIdx j, uint32_t task, uint64_t attempt, MachIdx mi) const {
-  const std::vector<PlacedAttempt>& attempts = (*fleet_)[mi].attempts;
-  return std::any_of(attempts.begin(), attempts.end(), [j, task, attempt](const PlacedAttempt& s) {
-    return s.job == j && s.task == task && s.attempt == attempt;
+bool GangPlacer::WasThere(JobIndex j, uint32_t task, uint64_t attempt, MachineIndex mi) const {
+  const std::vector<TaskAttempt>& attempts = (*fleet_)[mi].attempts;
+  return std::any_of(attempts.begin(), attempts.end(), [j, task, attempt](const TaskAttempt& s) {
+    return s.job == j && s.task_index == task && s.number == attempt;
   });
 }
 
-void GangPlacer::Complete(JobIdx j, const std::vector<uint32_t>& open) {
-  Job& job = (*book_)[j];
-  if (!free_capacity_->TeamRoom(job, job.waiting.size())) return;
+void GangPlacer::Complete(JobIndex j, const std::vector<uint32_t>& open) {
+  Job& job = (*job_store_)[j];
+  if (!free_capacity_->TeamRoom(job, job.waiting_tasks.size())) return;
   std::vector<char> zones;
-  std::vector<uint32_t> on = job.on;
+  std::vector<uint32_t> on = job.machines;
   if (!free_capacity_->ZoneRoom(job, on, &zones)) return;
   const Need need = free_capacity_->NeedOf(job, zones, on);
   Picker picker(&need, &free_capacity_->nodes(), open);
   free_capacity_->steps += open.size();
-  while (!job.waiting.empty()) {
+  while (!job.waiting_tasks.empty()) {
     const int at = picker.Next(true);
     if (at < 0) return;
     const auto node = static_cast<uint32_t>(at);
-    if (WasThere(j, job.waiting.back(), job.gang_attempt, node)) continue;
-    spdlog::info("{}/{} is replaced on {} while its gang gathers", job.id, job.waiting.back(),
+    if (WasThere(j, job.waiting_tasks.back(), job.gang_attempt, node)) continue;
+    spdlog::info("{}/{} is replaced on {} while its gang gathers", job.id, job.waiting_tasks.back(),
                  (*fleet_)[node].name);
     on.push_back(node);
     Put(j, node);
@@ -168,35 +169,36 @@
   }
 }
 
-std::vector<MachIdx> GangPlacer::Likely(const Job& job, const std::vector<char>& zones) const {
+std::vector<MachineIndex> GangPlacer::Likely(const Job& job, const std::vector<char>& zones) const {
   const Need need = free_capacity_->NeedOf(job, zones, {});
   const std::vector<Node>& nodes = free_capacity_->nodes();
-  std::vector<MachIdx> order;
-  for (MachIdx mi : fleet_->active()) {
+  std::vector<MachineIndex> order;
+  for (MachineIndex mi : fleet_->active()) {
     const Node& n = nodes[mi];
     if (n.usable && Allows(need, n.type, n.zone, n.spot)) order.push_back(mi);
   }
-  std::stable_sort(order.begin(), order.end(),
-                   [&nodes](MachIdx a, MachIdx b) { return nodes[a].cores > nodes[b].cores; });
+  std::stable_sort(order.begin(), order.end(), [&nodes](MachineIndex a, MachineIndex b) {
+    return nodes[a].cores > nodes[b].cores;
+  });
   double places = 0;
   size_t used = 0;
-  while (used < order.size() && places < static_cast<double>(job.waiting.size())) {
+  while (used < order.size() && places < static_cast<double>(job.waiting_tasks.size())) {
     // Arrays' tasks end soon; what services and gangs use stays.
-    const double cores = nodes[order[used]].cores + (*fleet_)[order[used]].lent_cores;
+    const double cores = nodes[order[used]].cores + (*fleet_)[order[used]].preemptible_cores;
     places += std::floor(std::max(0.0, cores) / std::max(job.spec.cores, kEps) + kEps);
     ++used;
   }
-  if (places < static_cast<double>(job.waiting.size())) return {};
+  if (places < static_cast<double>(job.waiting_tasks.size())) return {};
   order.resize(used);
   return order;
 }
 
 // Otherwise freed pieces would go to small tasks for ever. Where that makes the whole of it
 // fit, tasks of others are stopped for a gang that may claim their room.
-void GangPlacer::Reserve(JobIdx j, const std::vector<std::vector<char>>& zone_sets) {
+void GangPlacer::Reserve(JobIndex j, const std::vector<std::vector<char>>& zone_sets) {
   if (++reservations_ > kMostReservations) return;
-  const Job& job = (*book_)[j];
-  std::vector<MachIdx> machines;
+  const Job& job = (*job_store_)[j];
+  std::vector<MachineIndex> machines;
   if (clock_->Now() - job.waiting_since >= tuning_->preempt_after_s) {
     Preemption::Request request;
     request.job = j;
@@ -206,7 +208,7 @@
     if (!machines.empty()) break;
     machines = Likely(job, zones);
   }
-  for (MachIdx mi : machines) free_capacity_->nodes()[mi].usable = false;
+  for (MachineIndex mi : machines) free_capacity_->nodes()[mi].usable = false;
 }
 
 }  // namespace deckhall
--- a/src/leader/gang_placer.h
+++ b/src/leader/gang_placer.h
@@ -10,13 +10,13 @@
 
 class GangPlacer {
  public:
-  GangPlacer(JobBook* book, Fleet* fleet, FreeCapacity* free_capacity, Preemption* preemption,
+  GangPlacer(JobStore* job_store, Fleet* fleet, FreeCapacity* free_capacity, Preemption* preemption,
              const Clock* clock, const Tuning* tuning);
 
   void BeginPass() { reservations_ = 0; }
   // Starts a gang whose tasks all wait, or replaces lost tasks of one that still gathers.
   // `open`: machines with some room.
-  void Place(JobIdx j, const std::vector<uint32_t>& open);
+  void Place(JobIndex j, const std::vector<uint32_t>& open);
 
  private:
   // Places for all tasks, and when the last of them would start.
@@ -26,13 +26,13 @@
     double cost = 0;
   };
 
-  void Start(JobIdx j, const std::vector<uint32_t>& open);
+  void Start(JobIndex j, const std::vector<uint32_t>& open);
   // Stops others' tasks where the image is, if the gang may claim their room, rather than
   // start with the last fetch of the plan.
-  bool MakeRoomAtImage(JobIdx j, const Plan& otherwise,
+  bool MakeRoomAtImage(JobIndex j, const Plan& otherwise,
                        const std::vector<std::vector<char>>& zone_sets);
   // The missing tasks join under the same attempt number.
-  void Complete(JobIdx j, const std::vector<uint32_t>& open);
+  void Complete(JobIndex j, const std::vector<uint32_t>& open);
   // The sets of zones in which the whole gang may be: one zone each if it must be in one.
   std::vector<std::vector<char>> ZoneSets(const Job& job) const;
   // False: there is no room for all of them.
@@ -41,15 +41,15 @@
   // Takes the room in the picture for as long as the plan is made.
   void TakeOnTrial(const Job& job, uint32_t node);
   void GiveBack(const Job& job, uint32_t node);
-  void Put(JobIdx j, uint32_t node);
+  void Put(JobIndex j, uint32_t node);
   // Keeps room from jobs ranked lower until there is enough for the gang.
-  void Reserve(JobIdx j, const std::vector<std::vector<char>>& zone_sets);
+  void Reserve(JobIndex j, const std::vector<std::vector<char>>& zone_sets);
   // The machines on which room for the gang is to be expected first.
-  std::vector<MachIdx> Likely(const Job& job, const std::vector<char>& zones) const;
+  std::vector<MachineIndex> Likely(const Job& job, const std::vector<char>& zones) const;
   // The same attempt of the task was there already: a launch would have no effect.
-  bool WasThere(JobIdx j, uint32_t task, uint64_t attempt, MachIdx mi) const;
+  bool WasThere(JobIndex j, uint32_t task, uint64_t attempt, MachineIndex mi) const;
 
-  JobBook* book_;
+  JobStore* job_store_;
   Fleet* fleet_;
   FreeCapacity* free_capacity_;
   Preemption* preemption_;
--- a/src/leader/leader.cc
+++ b/src/leader/leader.cc
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "state/state_client.h"
+#include "state/key_value_client.h"
 
 namespace deckhall {
 namespace {
@@ -22,13 +22,13 @@
 constexpr int kFullRetry = 10;
 constexpr double kFullLogEvery = 60;
 
-StoreLimits LimitsOf(const Settings& s) {
-  StoreLimits l;
+RecordStoreLimits LimitsOf(const Settings& s) {
+  RecordStoreLimits l;
   // What is announced may come at any time: everything is kept within it from the start.
-  l.most_bytes = static_cast<size_t>(s.state_kept.value_kb * 1024);
-  l.value_bytes = static_cast<size_t>(s.state_kept.value_kb * 1024 * kPageFill);
-  l.present_bytes = static_cast<size_t>(s.state_now.value_kb * 1024);
-  l.txn_ops = static_cast<size_t>(std::max(1, s.state_kept.txn_ops));
+  l.max_value_bytes = static_cast<size_t>(s.state_kept.value_kb * 1024);
+  l.fill_bytes = static_cast<size_t>(s.state_kept.value_kb * 1024 * kPageFill);
+  l.current_max_value_bytes = static_cast<size_t>(s.state_now.value_kb * 1024);
+  l.max_transaction_ops = static_cast<size_t>(std::max(1, s.state_kept.txn_ops));
   l.write_burst = WriteBurst(s.state_kept.write_rps);
   return l;
 }
@@ -71,7 +71,7 @@
       fleet_(&book_, ports.clock, term, FleetOf(*settings)),
       rentals_(ports.cloud, &store_, &fleet_, &book_, ports.clock, term, RentalsOf(*settings)),
       // Two rows of hints share a page.
-      hints_(&store_, &book_, &fleet_, LimitsOf(*settings).value_bytes / 2 - kPageRest),
+      hints_(&store_, &book_, &fleet_, LimitsOf(*settings).fill_bytes / 2 - kPageOverheadBytes),
       free_capacity_(&book_, &fleet_, &rentals_, &store_, ports.clock, settings, tuning),
       ranking_(&book_, &free_capacity_, ports.clock, tuning),
       gangs_(&book_, &fleet_, &ranking_, ports.clock, settings),
@@ -89,13 +89,13 @@
   for (const std::string& z : settings->zones) book_.zones.Add(z);
   for (const Team& t : settings->teams) book_.teams.Add(t.name);
   store_.on_commit = [this] { Committed(); };
-  store_.on_deposed = [this] {
+  store_.on_leadership_lost = [this] {
     if (on_deposed) on_deposed("a write met another term");
   };
-  fleet_.on_exit = [this](MachIdx m, const PlacedAttempt& s) { TaskEnded(m, s); };
+  fleet_.on_exit = [this](MachineIndex m, const TaskAttempt& s) { TaskEnded(m, s); };
   fleet_.on_accounted = [this] { release_ = true; };
   fleet_.observer = &ledger_;
-  book_.on_life = [this](JobIdx j) { ledger_.JobChanged(j); };
+  book_.on_lifecycle_change = [this](JobIndex j) { ledger_.JobChanged(j); };
   placer_.on_refreshed = [this] { drainer_.PlaceReplacements(); };
 }
 
@@ -106,14 +106,14 @@
 
 void Leader::Load() {
   loading_ = true;
-  store_.Load([this](bool ok, const std::vector<std::pair<RowId, std::string>>& rows) {
+  store_.Load([this](bool ok, const std::vector<std::pair<RecordId, std::string>>& rows) {
     loading_ = false;
     if (retired_) return;
     if (!ok) {
       load_after_ = ports_.clock->Now() + 0.2;
       return;
     }
-    if (store_.unreadable() > 0 && ++load_tries_ < kLoadTries) {
+    if (store_.unreadable_pages() > 0 && ++load_tries_ < kLoadTries) {
       // Perhaps it was only the answer.
       load_after_ = ports_.clock->Now() + 0.2;
       return;
@@ -122,30 +122,32 @@
   });
 }
 
-void Leader::Loaded(const std::vector<std::pair<RowId, std::string>>& rows) {
+void Leader::Loaded(const std::vector<std::pair<RecordId, std::string>>& rows) {
   for (const auto& [id, text] : rows) {
     if (rentals_.LoadRow(id, text) || hints_.LoadRow(id, text) || drainer_.LoadRow(id, text)) {
       continue;
     }
-    if (!book_.LoadRow(id, text)) spdlog::error("a stored row is not understood: {}", text);
+    if (!book_.LoadRecord(id, text)) spdlog::error("a stored row is not understood: {}", text);
   }
   const double now = ports_.clock->Now();
   book_.FinishLoad(now, ports_.clock->Wall());
   hints_.FinishLoad();
   drainer_.FinishLoad();
   store_.SplitLargePages();
-  for (JobIdx j : book_.live()) {
+  for (JobIndex j : book_.active_jobs()) {
     Job& job = book_[j];
-    job.left = job.saved_left >= 0 ? job.saved_left : ranking_.WorkLeft(job);
+    job.remaining_core_seconds = job.stored_remaining_core_seconds >= 0
+                                     ? job.stored_remaining_core_seconds
+                                     : ranking_.WorkLeft(job);
   }
-  for (MachIdx m : fleet_.active()) fleet_.MarkChanged(m);
+  for (MachineIndex m : fleet_.active()) fleet_.MarkChanged(m);
   loaded_ = release_ = true;
   Use(policy_, policy_confirmed_);
   next_save_ = now + tuning_->save_s;
   next_hints_ = now + kHintsEvery * tuning_->save_s;
   rentals_.Start();
   spdlog::info("term {}: {} live jobs, {} machines to account for, {} rows", term_,
-               book_.live().size(), fleet_.Unaccounted(), rows.size());
+               book_.active_jobs().size(), fleet_.Unaccounted(), rows.size());
   Tick();
 }
 
@@ -167,16 +169,16 @@
   return since + GracePeriodSeconds(*settings_);
 }
 
-JobResponse Leader::State(JobIdx j, int status) const {
+JobResponse Leader::State(JobIndex j, int status) const {
   const Job& job = book_[j];
   JobResponse r;
   r.status = status;
-  r.tasks_done = job.done;
-  r.tasks_running = job.running;
-  r.state = job.running > 0 ? JobState::kRunning : JobState::kPending;
-  if (job.life == JobLife::kLive) return r;
+  r.tasks_done = job.tasks_done;
+  r.tasks_running = job.tasks_running;
+  r.state = job.tasks_running > 0 ? JobState::kRunning : JobState::kPending;
+  if (job.lifecycle == JobLifecycle::kActive) return r;
   if (!job.end_acknowledged) return r;  // nobody was told of the end yet
-  r.state = job.life == JobLife::kDone ? JobState::kDone : JobState::kCancelled;
+  r.state = job.lifecycle == JobLifecycle::kDone ? JobState::kDone : JobState::kCancelled;
   r.tasks_running = 0;
   return r;
 }
@@ -187,9 +189,9 @@
     return;
   }
   const bool trusted = ports_.lease->Trusted();
-  const JobIdx j = book_.Find(ask.job_id);
+  const JobIndex j = book_.Find(ask.job_id);
   // Final states never change: they may be told without the lease.
-  if (j != kNone && book_[j].end_acknowledged) {
+  if (j != kNoIndex && book_[j].end_acknowledged) {
     done(State(j, 200));
     return;
   }
@@ -207,7 +209,7 @@
     case JobOperation::kGet:
       break;
   }
-  if (j == kNone) {
+  if (j == kNoIndex) {
     done(Unknown());
   } else if (!book_[j].acknowledged) {
     done(UnavailableResponse("being accepted"));
@@ -218,7 +220,7 @@
 
 JobResponse Leader::Unknown() const {
   // What an unreadable page held may have been accepted: it can't be denied.
-  if (store_.unreadable() > 0)
+  if (store_.unreadable_pages() > 0)
     return UnavailableResponse("a page of the state service can't be read");
   JobResponse r;
   r.status = 404;
@@ -258,9 +260,9 @@
 
 const char* Leader::Full(const JobSpec& spec) {
   const char* why = nullptr;
-  if (book_.live().size() >= MostLiveJobs(*settings_)) {
+  if (book_.active_jobs().size() >= MostLiveJobs(*settings_)) {
     why = "as many jobs are unfinished as the memory allows";
-  } else if (book_.live_tasks() + spec.task_count > MostLiveTasks(*settings_)) {
+  } else if (book_.active_task_count() + spec.task_count > MostLiveTasks(*settings_)) {
     why = "as many tasks are unfinished as the memory allows";
   } else if (waiters_.size() >= MostWaiters(*settings_)) {
     why = "as many users wait for an answer as there are connections";
@@ -268,19 +270,19 @@
   const double now = ports_.clock->Now();
   if (why != nullptr && now >= full_logged_at_ + kFullLogEvery) {
     full_logged_at_ = now;
-    spdlog::warn("no new job is taken: {} ({} jobs, {} tasks)", why, book_.live().size(),
-                 book_.live_tasks());
+    spdlog::warn("no new job is taken: {} ({} jobs, {} tasks)", why, book_.active_jobs().size(),
+                 book_.active_task_count());
   }
   return why;
 }
 
 void Leader::Submit(const JobRequest& ask, UserDone done) {
-  JobIdx j = book_.Find(ask.job_id);
-  if (j != kNone && book_[j].acknowledged) {
+  JobIndex j = book_.Find(ask.job_id);
+  if (j != kNoIndex && book_[j].acknowledged) {
     done(State(j, 200));
     return;
   }
-  if (j == kNone) {
+  if (j == kNoIndex) {
     JobResponse r;
     if (!ask.validation_error.empty()) {
       r.status = 400;
@@ -292,7 +294,8 @@
       done(UnavailableResponse("machine types are not known yet"));
       return;
     }
-    r.error = book_.FitsRow(ask.job) ? NeverRuns(ask.job) : "its description is too large to keep";
+    r.error =
+        book_.FitsRecord(ask.job) ? NeverRuns(ask.job) : "its description is too large to keep";
     if (!r.error.empty()) {
       r.status = 422;
       done(r);
@@ -304,7 +307,7 @@
     }
     j = book_.Create(ask.job, ports_.clock->Wall());
     Job& job = book_[j];
-    job.left = ranking_.WorkLeft(job);
+    job.remaining_core_seconds = ranking_.WorkLeft(job);
     job.waiting_since = job.starved_since = ports_.clock->Now();
     if (job.spec.service) free_capacity_.ServiceArrived(job);
     ranking_.JobsChanged();
@@ -314,8 +317,8 @@
 }
 
 void Leader::Cancel(const JobRequest& ask, UserDone done) {
-  const JobIdx j = book_.Find(ask.job_id);
-  if (j == kNone) {
+  const JobIndex j = book_.Find(ask.job_id);
+  if (j == kNoIndex) {
     done(Unknown());
     return;
   }
@@ -323,25 +326,25 @@
     done(UnavailableResponse("being accepted"));
     return;
   }
-  if (book_[j].life == JobLife::kLive) {
+  if (book_[j].lifecycle == JobLifecycle::kActive) {
     spdlog::info("job {} is cancelled by its user", ask.job_id);
     // Its work is of no use from the moment its user asks.
-    book_.End(j, JobLife::kCancelled, ports_.clock->Now());
+    book_.EndJob(j, JobLifecycle::kCancelled, ports_.clock->Now());
     fleet_.UnwantJob(j);
     ranking_.JobsChanged();
     fleet_.changed = true;
   } else {
     // It has just ended: its user waits for that to be durable.
-    book_.Save(j, WriteUrgency::kNow);
+    book_.Save(j, WritePriority::kImmediate);
   }
   waiters_.push_back({j, JobOperation::kCancel, std::move(done), 200, ports_.clock->Now()});
   store_.Flush();
 }
 
 void Leader::Committed() {
-  for (JobIdx j : book_.live()) {
+  for (JobIndex j : book_.active_jobs()) {
     Job& job = book_[j];
-    if (!job.acknowledged && book_.Durable(j)) {
+    if (!job.acknowledged && book_.IsDurable(j)) {
       job.acknowledged = true;
       fleet_.changed = true;
       spdlog::info("job {} accepted: {} of {}, {} tasks of {} cores, estimate {} s, deadline {} s",
@@ -349,46 +352,48 @@
                    job.spec.estimated_runtime_s, job.spec.deadline_s.value_or(0));
     }
   }
-  for (JobIdx j : book_.ended_jobs()) {
+  for (JobIndex j : book_.ended_jobs()) {
     // Once told it stays told: the row may be rewritten later, the answer may not
     // go back.
-    if (book_.Durable(j)) book_[j].end_acknowledged = true;
+    if (book_.IsDurable(j)) book_[j].end_acknowledged = true;
   }
   const bool trusted = ports_.lease->Trusted();
   std::vector<Waiter> ready;
   std::vector<Waiter> rest;
   for (Waiter& w : waiters_) {
-    (book_.Durable(w.job) ? ready : rest).push_back(std::move(w));
+    (book_.IsDurable(w.job) ? ready : rest).push_back(std::move(w));
   }
   waiters_ = std::move(rest);
   for (Waiter& w : ready) {
     Job& job = book_[w.job];
     job.acknowledged = true;
-    const bool final = job.life != JobLife::kLive;
+    const bool final = job.lifecycle != JobLifecycle::kActive;
     w.done(trusted || final ? State(w.job, w.status) : UnavailableResponse("the lease ran out"));
   }
 }
 
 void Leader::SaveProgress() {
-  for (JobIdx j : book_.live()) {
+  for (JobIndex j : book_.active_jobs()) {
     Job& job = book_[j];
     if (job.spec.service || !job.acknowledged) continue;
-    if (job.saved_left >= 0 && std::abs(job.left - job.saved_left) < 0.1 * job.saved_left + 1) {
+    if (job.stored_remaining_core_seconds >= 0 &&
+        std::abs(job.remaining_core_seconds - job.stored_remaining_core_seconds) <
+            0.1 * job.stored_remaining_core_seconds + 1) {
       continue;
     }
-    job.saved_left = job.left;
-    book_.Save(j, WriteUrgency::kLazy);
+    job.stored_remaining_core_seconds = job.remaining_core_seconds;
+    book_.Save(j, WritePriority::kBackground);
   }
 }
 
 void Leader::CollectEndedJobs() {
   const double now = ports_.clock->Now();
   const double keep = settings_->cancel_s + settings_->lease_s + GracePeriodSeconds(*settings_);
-  const std::vector<JobIdx> ended_jobs = book_.ended_jobs();
-  for (JobIdx j : ended_jobs) {
+  const std::vector<JobIndex> ended_jobs = book_.ended_jobs();
+  for (JobIndex j : ended_jobs) {
     Job& job = book_[j];
-    if (now - job.ended_at < keep || job.unseen > 0 || !job.end_acknowledged) continue;
-    if (job.attempts == 0) book_.DropSpec(j);
+    if (now - job.ended_at < keep || job.tasks_unreconciled > 0 || !job.end_acknowledged) continue;
+    if (job.attempt_count == 0) book_.DropSpec(j);
   }
 }
 
@@ -432,7 +437,7 @@
     pass_after_ = now + std::min(kPassGapMost, kPassGap + kPassGapPerMachine * machines);
     placer_.Pass();
   }
-  MachIdx changed = 0;
+  MachineIndex changed = 0;
   while (direct_.Level(now) >= 1 && fleet_.TakeChanged(&changed)) Direct(changed);
   if (now >= next_plan_) {
     next_plan_ = now + tuning_->plan_s;
--- a/src/leader/leader.h
+++ b/src/leader/leader.h
@@ -27,7 +27,7 @@
 };
 
 struct LeaderPorts {
-  StatePort* state = nullptr;
+  KeyValueStore* state = nullptr;
   CloudPort* cloud = nullptr;
   WorkerPort* workers = nullptr;
   const Clock* clock = nullptr;
@@ -62,7 +62,7 @@
 
   std::function<void(const char* why)> on_deposed;
 
-  JobBook& book() { return book_; }
+  JobStore& book() { return book_; }
   Fleet& fleet() { return fleet_; }
   const Drainer& drainer() const { return drainer_; }
   const DisruptionLedger& ledger() const { return ledger_; }
@@ -76,7 +76,7 @@
 
  private:
   struct Waiter {
-    JobIdx job;
+    JobIndex job;
     JobOperation op;
     UserDone done;
     int status;
@@ -84,40 +84,40 @@
   };
 
   void Load();
-  void Loaded(const std::vector<std::pair<RowId, std::string>>& rows);
+  void Loaded(const std::vector<std::pair<RecordId, std::string>>& rows);
   void Submit(const JobRequest& ask, UserDone done);
   void Cancel(const JobRequest& ask, UserDone done);
-  JobResponse State(JobIdx j, int status) const;
+  JobResponse State(JobIndex j, int status) const;
   JobResponse Unknown() const;
   std::string NeverRuns(const JobSpec& spec) const;
   // The limit that stands against one more such job; null: none does.
   const char* Full(const JobSpec& spec);
   void Committed();
   void ReleaseUnseen();
-  void TaskEnded(MachIdx m, const PlacedAttempt& slot);
-  void TaskFailed(MachIdx m, const PlacedAttempt& slot);
-  void Direct(MachIdx m);
-  void DirectDone(MachIdx m, const WorkerAnswer& answer, Stamp asked);
+  void TaskEnded(MachineIndex m, const TaskAttempt& slot);
+  void TaskFailed(MachineIndex m, const TaskAttempt& slot);
+  void Direct(MachineIndex m);
+  void DirectDone(MachineIndex m, const WorkerAnswer& answer, Stamp asked);
   void Sweep();
   // Finds zones that are cut off from here, with all that runs there.
   void FindCuts();
   // Makes durable since when a machine behind a cut is not answered.
-  void SayUnanswered(MachIdx m);
+  void SayUnanswered(MachineIndex m);
   // Takes that back, once one of them is heard.
   void TakeBack(uint32_t zone);
   // Nothing is said of the machine any more, also durably.
-  bool TakenBack(MachIdx m);
+  bool TakenBack(MachineIndex m);
   // A question to a machine was answered, or not.
   void Counted(const Machine& m, bool answered);
   // Its zone's controllers are not heard, or were not of late.
   bool BehindCut(const Machine& m) const;
-  void Watch(MachIdx m);
-  void Lost(MachIdx m);
-  void Probe(MachIdx m, bool urgent);
+  void Watch(MachineIndex m);
+  void Lost(MachineIndex m);
+  void Probe(MachineIndex m, bool urgent);
   // False when what the machine says can't be: it then changes nothing.
   bool Plausible(const Heartbeat& report);
   void RejectReport(const std::string& machine, const char* why);
-  void Notice(MachIdx m);
+  void Notice(MachineIndex m);
   void SaveProgress();
   void CollectEndedJobs();
   // Failures of services that run again.
@@ -129,8 +129,8 @@
   const Tuning* tuning_;
   uint64_t term_;
   double began_ = 0;
-  RowStore store_;
-  JobBook book_;
+  RecordStore store_;
+  JobStore book_;
   Fleet fleet_;
   Rentals rentals_;
   CacheHints hints_;
--- a/src/leader/leader_cuts.cc
+++ b/src/leader/leader_cuts.cc
@@ -22,34 +22,36 @@
 
 }  // namespace
 
-void Leader::SayUnanswered(MachIdx mi) {
+void Leader::SayUnanswered(MachineIndex mi) {
   // Should the next leader have to wait for its own beginning, our hold and a lease,
   // what runs behind the cut would be missing for that long.
   Machine& m = fleet_[mi];
-  if (!m.accounted || m.row == kNoRow || !fleet_.Ours(m) || m.unanswered_since >= 0) return;
-  const double silent = ports_.clock->Now() - std::max(m.heard_at, m.answered_at);
-  m.unanswered_since = ports_.clock->Wall() - silent;
-  rentals_.SaveMachine(mi, WriteUrgency::kLazy);
+  if (!m.reconciled || m.record_id == kNoRecord || !fleet_.Ours(m) || m.unrenewed_since_wall >= 0)
+    return;
+  const double silent = ports_.clock->Now() - std::max(m.last_heard_at, m.lease_renewed_at);
+  m.unrenewed_since_wall = ports_.clock->Wall() - silent;
+  rentals_.SaveMachine(mi, WritePriority::kBackground);
 }
 
 void Leader::TakeBack(uint32_t zone) {
-  for (MachIdx mi : fleet_.active()) {
+  for (MachineIndex mi : fleet_.active()) {
     Machine& m = fleet_[mi];
-    if (m.zone != zone || m.unanswered_since < 0) continue;
-    m.unanswered_since = -1;
-    m.taking_back = true;
-    rentals_.SaveMachine(mi, WriteUrgency::kNow);
+    if (m.zone != zone || m.unrenewed_since_wall < 0) continue;
+    m.unrenewed_since_wall = -1;
+    m.withdrawing_expiry_bound = true;
+    rentals_.SaveMachine(mi, WritePriority::kImmediate);
   }
 }
 
-bool Leader::TakenBack(MachIdx mi) {
+bool Leader::TakenBack(MachineIndex mi) {
   Machine& m = fleet_[mi];
-  if (m.taking_back && store_.Durable(m.row)) m.taking_back = false;
-  return m.unanswered_since < 0 && !m.taking_back;
+  if (m.withdrawing_expiry_bound && store_.IsDurable(m.record_id))
+    m.withdrawing_expiry_bound = false;
+  return m.unrenewed_since_wall < 0 && !m.withdrawing_expiry_bound;
 }
 
 bool Leader::BehindCut(const Machine& m) const {
-  return m.zone != kNone && ports_.doubtful && ports_.doubtful(book_.zones[m.zone]);
+  return m.zone != kNoIndex && ports_.doubtful && ports_.doubtful(book_.zones[m.zone]);
 }
 
 // A machine already known to be silent, or behind a cut, says nothing new about the way: many such,
@@ -59,7 +61,7 @@
     answered_ += 1;
     in_a_row_ = 0;
     last_answer_ = ports_.clock->Now();
-  } else if (m.probe_fails == 0 && m.do_fails == 0 && !BehindCut(m)) {
+  } else if (m.probe_failures == 0 && m.command_failures == 0 && !BehindCut(m)) {
     unanswered_ += 1;
     ++in_a_row_;
   }
@@ -75,13 +77,13 @@
     size_t in_time = 0;
   };
   std::vector<Count> count(book_.zones.size());
-  for (MachIdx mi : fleet_.active()) {
+  for (MachineIndex mi : fleet_.active()) {
     const Machine& m = fleet_[mi];
     // Those that ever reported, under whichever leader.
-    if (m.zone == kNone || m.returning || m.endpoint.empty()) continue;
+    if (m.zone == kNoIndex || m.scaling_in || m.endpoint.empty()) continue;
     ++count[m.zone].known;
-    if (now - m.heard_at < window) ++count[m.zone].heard;
-    if (now - m.heard_at < overdue) ++count[m.zone].in_time;
+    if (now - m.last_heard_at < window) ++count[m.zone].heard;
+    if (now - m.last_heard_at < overdue) ++count[m.zone].in_time;
   }
   cut_.resize(book_.zones.size(), 0);
   const std::vector<char> before = cut_;
@@ -111,12 +113,12 @@
     }
   }
   free_capacity_.SetCut(cut_);
-  for (MachIdx mi : fleet_.active()) {
+  for (MachineIndex mi : fleet_.active()) {
     Machine& m = fleet_[mi];
-    const bool cut = m.zone != kNone && cut_[m.zone] != 0 && now - m.heard_at >= window;
-    if (cut != m.cut) m.stale = true;
-    if (cut && !m.cut) SayUnanswered(mi);
-    m.cut = cut;
+    const bool cut = m.zone != kNoIndex && cut_[m.zone] != 0 && now - m.last_heard_at >= window;
+    if (cut != m.partitioned) m.capacity_stale = true;
+    if (cut && !m.partitioned) SayUnanswered(mi);
+    m.partitioned = cut;
   }
   for (uint32_t z = 0; z < cut_.size(); ++z) {
     if (cut_[z] == 0 && before[z] != 0) TakeBack(z);
--- a/src/leader/leader_machines.cc
+++ b/src/leader/leader_machines.cc
@@ -63,11 +63,11 @@
     }
     return false;
   }
-  const MachIdx mi = fleet_.Find(r.machine);
-  if (mi == kNone) return true;
+  const MachineIndex mi = fleet_.Find(r.machine);
+  if (mi == kNoIndex) return true;
   const Machine& m = fleet_[mi];
-  if (m.type != kNone && (book_.types.Find(r.type) != m.type || m.spot != r.spot ||
-                          book_.zones.Find(r.zone) != m.zone)) {
+  if (m.type != kNoIndex && (book_.types.Find(r.type) != m.type || m.spot != r.spot ||
+                             book_.zones.Find(r.zone) != m.zone)) {
     RejectReport(r.machine, "says it is of another type, zone or kind");
     return false;
   }
@@ -83,13 +83,13 @@
   }
   const bool trusted = ports_.lease->Trusted();
   if (!loaded_ || (!trusted && now > GraceUntil())) return reply;
-  MachIdx mi = fleet_.Find(r.machine);
-  if (mi == kNone) {
+  MachineIndex mi = fleet_.Find(r.machine);
+  if (mi == kNoIndex) {
     if (!trusted) return reply;
     mi = rentals_.Unexpected(r);
   }
   // A late copy from a machine that is gone.
-  if (fleet_[mi].gone) return reply;
+  if (fleet_[mi].removed) return reply;
   if (!TakenBack(mi)) {
     if (trusted) TakeBack(fleet_[mi].zone);
     return reply;
@@ -97,31 +97,33 @@
   const bool fresh = fleet_.Process(mi, r);
   Machine& m = fleet_[mi];
   reply.status = 200;
-  reply.fencing_token = m.token;
+  reply.fencing_token = m.fencing_token;
   if (!fresh) {
     // Overtaken by an answer to a command, or a late copy: it renews nothing here,
     // and gets no commands.
-    if (m.suspect) RejectReport(r.machine, "sent an old report");
+    if (m.suspected) RejectReport(r.machine, "sent an old report");
     // To the worker it may be an answer that renews its lease all the same.
     reply.commands = fleet_.StopsOfEnded(r);
     return reply;
   }
   if (m.endpoint != r.endpoint) {
     m.endpoint = r.endpoint;
-    if (m.row != kNoRow || m.listed) rentals_.SaveMachine(mi, WriteUrgency::kSoon);
+    if (m.record_id != kNoRecord || m.registered)
+      rentals_.SaveMachine(mi, WritePriority::kDeferred);
   }
-  if (!m.accounted) {
+  if (!m.reconciled) {
     // Nothing is adopted before it has shown this term's token. But this answer renews
     // its lease, perhaps the last one before this leader ends: what was cancelled must
     // not live on by it.
     reply.commands = fleet_.StopsOfEnded(r);
-    m.answered_at = now;
+    m.lease_renewed_at = now;
     return reply;
   }
   // Nobody named it before: kept once it has shown that it hears us. A late copy's
   // ghost never does.
-  if (m.row == kNoRow && Fleet::Hears(m)) rentals_.SaveMachine(mi, WriteUrgency::kSoon);
-  if (m.do_busy || m.returning) {
+  if (m.record_id == kNoRecord && Fleet::Hears(m))
+    rentals_.SaveMachine(mi, WritePriority::kDeferred);
+  if (m.command_in_flight || m.scaling_in) {
     // What was sent straight may be lost on its way, again and again while the way is
     // blocked, and the cloud may be out: stops go with every report, or a cancelled
     // task could outlive its time.
@@ -129,36 +131,36 @@
   } else {
     // Stops and clears need no lease; launches do.
     reply.commands = fleet_.Commands(mi, trusted);
-    reply.fencing_token = m.token;
+    reply.fencing_token = m.fencing_token;
   }
-  m.answered_at = now;
+  m.lease_renewed_at = now;
   return reply;
 }
 
-void Leader::TaskEnded(MachIdx mi, const PlacedAttempt& slot) {
+void Leader::TaskEnded(MachineIndex mi, const TaskAttempt& slot) {
   Machine& m = fleet_[mi];
   const double now = ports_.clock->Now();
-  if (slot.job == kNone) return;
+  if (slot.job == kNoIndex) return;
   Job& job = book_[slot.job];
   gangs_.TaskEnded(slot);
-  switch (slot.why) {
+  switch (slot.exit_reason) {
     case ExitReason::kDone:
-      m.task_fails = 0;
-      m.sick_count = 0;
-      job.fail_streak = 0;
-      job.failed_on.clear();
+      m.task_failures = 0;
+      m.quarantine_count = 0;
+      job.consecutive_failures = 0;
+      job.failed_machines.clear();
       if (slot.running_since >= 0) ranking_.Observed(job, now - slot.running_since);
-      if (job.life != JobLife::kLive) ranking_.JobsChanged();
+      if (job.lifecycle != JobLifecycle::kActive) ranking_.JobsChanged();
       break;
     case ExitReason::kNoRoom:
       m.no_room_until = now + 2;
-      spdlog::info("machine {}: no room for {}", m.name, slot.name);
+      spdlog::info("machine {}: no room for {}", m.name, slot.task_name);
       break;
     case ExitReason::kInUse:
     case ExitReason::kUnknown:
       job.backoff_until = std::max(job.backoff_until, now + 1);
-      spdlog::info("machine {}: {} refused ({})", m.name, slot.name,
-                   slot.why == ExitReason::kInUse ? "in use" : "unknown");
+      spdlog::info("machine {}: {} refused ({})", m.name, slot.task_name,
+                   slot.exit_reason == ExitReason::kInUse ? "in use" : "unknown");
       break;
     case ExitReason::kError:
       TaskFailed(mi, slot);
@@ -173,92 +175,96 @@
 }
 
 // Either the job or the machine is at fault; where else the job failed tells which.
-void Leader::TaskFailed(MachIdx mi, const PlacedAttempt& slot) {
+void Leader::TaskFailed(MachineIndex mi, const TaskAttempt& slot) {
   Machine& m = fleet_[mi];
   Job& job = book_[slot.job];
   const double now = ports_.clock->Now();
-  ++job.fail_streak;
-  job.failed_at = now;
-  const bool new_place =
-      std::find(job.failed_on.begin(), job.failed_on.end(), mi) == job.failed_on.end();
-  if (new_place) job.failed_on.push_back(mi);
-  if (job.failed_on.size() > 16) job.failed_on.erase(job.failed_on.begin());
+  ++job.consecutive_failures;
+  job.last_failure_at = now;
+  const bool new_place = std::find(job.failed_machines.begin(), job.failed_machines.end(), mi) ==
+                         job.failed_machines.end();
+  if (new_place) job.failed_machines.push_back(mi);
+  if (job.failed_machines.size() > 16) job.failed_machines.erase(job.failed_machines.begin());
   // A job that fails wherever it goes says nothing about the machine.
-  if (job.failed_on.size() <= 2 && new_place) ++m.task_fails;
-  if (job.fail_streak >= 3) {
-    const double wait = std::min(60.0, std::pow(2.0, std::min<uint32_t>(job.fail_streak, 9) - 3));
+  if (job.failed_machines.size() <= 2 && new_place) ++m.task_failures;
+  if (job.consecutive_failures >= 3) {
+    const double wait =
+        std::min(60.0, std::pow(2.0, std::min<uint32_t>(job.consecutive_failures, 9) - 3));
     job.backoff_until = now + wait;
   }
-  spdlog::info("machine {}: {} failed (job {} in a row, machine {})", m.name, slot.name,
-               job.fail_streak, m.task_fails);
-  if (m.task_fails >= 2) {
-    m.task_fails = 0;
-    ++m.sick_count;
-    m.sick_until = now + 20.0 * m.sick_count;
-    spdlog::warn("machine {}: quarantined for {} s", m.name, 20 * m.sick_count);
+  spdlog::info("machine {}: {} failed (job {} in a row, machine {})", m.name, slot.task_name,
+               job.consecutive_failures, m.task_failures);
+  if (m.task_failures >= 2) {
+    m.task_failures = 0;
+    ++m.quarantine_count;
+    m.quarantined_until = now + 20.0 * m.quarantine_count;
+    spdlog::warn("machine {}: quarantined for {} s", m.name, 20 * m.quarantine_count);
   }
 }
 
 void Leader::ReleaseUnseen() {
   // A task not seen anywhere is free once no machine is left that it could be on.
   // Machines of one type, zone and kind are alike in this.
-  std::vector<MachIdx> kinds;
-  for (MachIdx mi : fleet_.active()) {
+  std::vector<MachineIndex> kinds;
+  for (MachineIndex mi : fleet_.active()) {
     const Machine& m = fleet_[mi];
-    if (!m.may_hold || m.accounted) continue;
-    const bool known = std::any_of(kinds.begin(), kinds.end(), [this, &m](MachIdx k) {
+    if (!m.may_run_former_attempts || m.reconciled) continue;
+    const bool known = std::any_of(kinds.begin(), kinds.end(), [this, &m](MachineIndex k) {
       return fleet_[k].type == m.type && fleet_[k].zone == m.zone && fleet_[k].spot == m.spot;
     });
     if (!known) kinds.push_back(mi);
   }
-  auto look = [this, &kinds](const std::vector<JobIdx>& list) {
-    for (JobIdx j : list) {
+  auto look = [this, &kinds](const std::vector<JobIndex>& list) {
+    for (JobIndex j : list) {
       Job& job = book_[j];
-      if (!job.full || job.unseen == 0) continue;
-      const bool possible = std::any_of(kinds.begin(), kinds.end(), [this, &job](MachIdx k) {
+      if (!job.has_spec || job.tasks_unreconciled == 0) continue;
+      const bool possible = std::any_of(kinds.begin(), kinds.end(), [this, &job](MachineIndex k) {
         return FreeCapacity::MayBeOn(job, fleet_[k]);
       });
       if (possible) continue;
-      for (uint32_t t = 0; t < job.tasks.size(); ++t) book_.SeenFree(j, t);
+      for (uint32_t t = 0; t < job.tasks.size(); ++t) book_.ReleaseUnreconciledTask(j, t);
       fleet_.changed = true;
     }
   };
-  look(book_.live());
+  look(book_.active_jobs());
   look(book_.ended_jobs());
 }
 
-void Leader::Direct(MachIdx mi) {
+void Leader::Direct(MachineIndex mi) {
   Machine& m = fleet_[mi];
   ++looked_at_;
   // Answers come at any time, also past the lease: nothing is launched then.
   if (!ports_.lease->Trusted()) return;
   const double now = ports_.clock->Now();
-  if (m.do_busy || m.gone || m.returning || m.endpoint.empty() || now < m.do_after) return;
-  const bool greet = !m.accounted && (m.may_hold || m.up);
+  if (m.command_in_flight || m.removed || m.scaling_in || m.endpoint.empty() ||
+      now < m.command_backoff_until)
+    return;
+  const bool greet = !m.reconciled && (m.may_run_former_attempts || m.up);
   // A launch there could outlive what was said of its lease.
   const bool launch = TakenBack(mi);
   if (!greet && (!m.up || !fleet_.HasCommands(mi, launch))) return;
   std::vector<Command> commands = fleet_.Commands(mi, launch);
   if (commands.empty() && !greet && Fleet::Hears(m)) return;
-  m.do_busy = true;
+  m.command_in_flight = true;
   direct_.Take(now, 1, -1e9);
   const Stamp asked = fleet_.StampOf(mi);
-  ports_.workers->Do(m.endpoint, m.token, m.session, commands, kDoTimeout,
+  ports_.workers->Do(m.endpoint, m.fencing_token, m.agent_epoch, commands, kDoTimeout,
                      [this, mi, asked](const WorkerAnswer& answer) {
                        if (!retired_) DirectDone(mi, answer, asked);
                      });
 }
 
-void Leader::DirectDone(MachIdx mi, const WorkerAnswer& answer, Stamp asked) {
+void Leader::DirectDone(MachineIndex mi, const WorkerAnswer& answer, Stamp asked) {
   Machine& m = fleet_[mi];
   const double now = ports_.clock->Now();
-  m.do_busy = false;
-  if (m.gone) return;
+  m.command_in_flight = false;
+  if (m.removed) return;
   const bool named = answer.has_report && answer.report.machine == m.name;
   Counted(m, named);
   if (!named) {
-    ++m.do_fails;
-    m.do_after = now + std::min(4.0, 0.25 * std::pow(2.0, std::min(m.do_fails, 6)));
+    ++m.command_failures;
+    m.command_backoff_until =
+        now + std::min(4.0, 0.25 * std::pow(2.0, std::min(m.command_failures, 6)));
     fleet_.ProbeFailed(mi);
     if (answer.has_report) RejectReport(m.name, "is not who answers at its address");
     if (answer.sent) fleet_.Unanswered(mi);
@@ -266,39 +272,41 @@
   }
   if (!Plausible(answer.report)) {
     // Given up on when it stays so.
-    m.do_after = now + 4;
+    m.command_backoff_until = now + 4;
     fleet_.ProbeFailed(mi);
     return;
   }
-  m.do_fails = 0;
-  if (answer.status == 409) m.do_after = now + 0.2;
+  m.command_failures = 0;
+  if (answer.status == 409) m.command_backoff_until = now + 0.2;
   fleet_.Answered(mi, answer.report, asked);
-  if (m.row == kNoRow && m.accounted) rentals_.SaveMachine(mi, WriteUrgency::kSoon);
+  if (m.record_id == kNoRecord && m.reconciled) rentals_.SaveMachine(mi, WritePriority::kDeferred);
   Direct(mi);
 }
 
-void Leader::Probe(MachIdx mi, bool urgent) {
+void Leader::Probe(MachineIndex mi, bool urgent) {
   Machine& m = fleet_[mi];
   const double now = ports_.clock->Now();
-  if (m.probing || m.do_busy || m.endpoint.empty() || now < m.probe_after) return;
+  if (m.probe_in_flight || m.command_in_flight || m.endpoint.empty() || now < m.probe_backoff_until)
+    return;
   // Half of the budget is kept for machines that are overdue.
   const double reserve =
       urgent ? 0 : MessagesPerSecond(*settings_, *tuning_) * tuning_->probe_share;
   if (!probes_.Take(now, 1, reserve)) return;
-  m.probing = true;
+  m.probe_in_flight = true;
   const Stamp asked = fleet_.StampOf(mi);
   ports_.workers->Inspect(m.endpoint, kProbeTimeout, [this, mi, asked](const WorkerAnswer& a) {
     if (retired_) return;
     Machine& machine = fleet_[mi];
-    machine.probing = false;
-    if (machine.gone) return;
+    machine.probe_in_flight = false;
+    if (machine.removed) return;
     Counted(machine, a.has_report);
     if (!a.has_report || a.report.machine != machine.name || !Plausible(a.report)) {
-      ++machine.probe_fails;
+      ++machine.probe_failures;
       // Those known to be silent must not take the whole budget.
-      machine.probe_after =
+      machine.probe_backoff_until =
           ports_.clock->Now() +
-          std::min(kLongestProbePause, 0.1 * std::pow(2.0, std::min(machine.fails, 6) - 1));
+          std::min(kLongestProbePause,
+                   0.1 * std::pow(2.0, std::min(machine.unreachable_count, 6) - 1));
       fleet_.ProbeFailed(mi);
       return;
     }
@@ -306,17 +314,17 @@
   });
 }
 
-void Leader::Lost(MachIdx mi) {
+void Leader::Lost(MachineIndex mi) {
   Machine& m = fleet_[mi];
   const double now = ports_.clock->Now();
-  const bool waited_for = m.may_hold && !m.accounted;
-  const double silent = now - std::max(m.heard_at, began_);
+  const bool waited_for = m.may_run_former_attempts && !m.reconciled;
+  const double silent = now - std::max(m.last_heard_at, began_);
   // Behind a cut its tasks run on until its lease ends; returning it sooner would end
   // them before there is room elsewhere. What a former leader inside the cut answers
   // lives longer still; other former leaders' machines block what may be on them.
-  const bool answered_inside = m.zone != kNone && !ports_.former_leader_zone.empty() &&
+  const bool answered_inside = m.zone != kNoIndex && !ports_.former_leader_zone.empty() &&
                                book_.zones[m.zone] == ports_.former_leader_zone;
-  if (m.cut && (!waited_for || answered_inside || m.unanswered_since >= 0)) {
+  if (m.partitioned && (!waited_for || answered_inside || m.unrenewed_since_wall >= 0)) {
     if (silent > settings_->lease_s * kCutLeases && !waited_for) {
       rentals_.Return(mi, "silent behind a cut");
     }
@@ -334,7 +342,7 @@
   const bool few_waited_for = waited_for && waited_for_ <= few_;
   if ((behind_cut && !few_waited_for) || many_silent_)
     limit = std::max(limit, tuning_->lost_behind_cut_s);
-  if (silent > limit && m.probe_fails >= 2) {
+  if (silent > limit && m.probe_failures >= 2) {
     // Returning it ends whatever it still holds: sooner than its lease would.
     rentals_.Return(mi, "silent");
     lost_at_ = now;
@@ -343,38 +351,40 @@
   // It reports, but nothing of ours reaches it: its tasks would die with its lease.
   // Many such at once are rather a fault of the way, or of ourselves.
   limit = behind_cut ? std::max(tuning_->deaf_s, tuning_->lost_behind_cut_s) : tuning_->deaf_s;
-  if (m.failing_since >= 0 && m.fails >= 3 && now - m.failing_since > limit &&
-      m.heard_at > m.failing_since && deaf_machines_ <= few_deaf_) {
+  if (m.unreachable_since >= 0 && m.unreachable_count >= 3 && now - m.unreachable_since > limit &&
+      m.last_heard_at > m.unreachable_since && deaf_machines_ <= few_deaf_) {
     rentals_.Return(mi, "deaf: it reports, but nothing reaches it");
   }
 }
 
-void Leader::Watch(MachIdx mi) {
+void Leader::Watch(MachineIndex mi) {
   Machine& m = fleet_[mi];
   const double now = ports_.clock->Now();
-  const bool waited_for = m.may_hold && !m.accounted;
+  const bool waited_for = m.may_run_former_attempts && !m.reconciled;
   if (!m.up && !waited_for) return;
   // Also while its return waits for the cloud.
-  if (!m.attempts.empty() && m.accounted && fleet_.LeaseOver(m, now, began_)) {
+  if (!m.attempts.empty() && m.reconciled && fleet_.LeaseOver(m, now, began_)) {
     fleet_.LoseAll(mi, "its lease ran out");
   }
   if (waited_for && fleet_.LeaseOver(m, now, began_)) {
     spdlog::info("machine {}: its lease under the former leader surely ran out", m.name);
     fleet_.Account(mi);
   }
-  if (m.returning) return;
+  if (m.scaling_in) return;
   // What is wanted there and could not be told, or must be told again.
-  if (now >= m.do_after && (!m.accounted || fleet_.HasCommands(mi, true))) fleet_.MarkChanged(mi);
-  const double silent = now - std::max(m.heard_at, began_);
+  if (now >= m.command_backoff_until && (!m.reconciled || fleet_.HasCommands(mi, true)))
+    fleet_.MarkChanged(mi);
+  const double silent = now - std::max(m.last_heard_at, began_);
   const double overdue = OverdueSeconds(*settings_);
-  const double often = m.busy > 0 ? probe_every_ : std::max(tuning_->silent_s, overdue);
-  const bool urgent = m.suspect || m.failing_since >= 0 || silent > overdue;
+  const double often = m.active_attempts > 0 ? probe_every_ : std::max(tuning_->silent_s, overdue);
+  const bool urgent = m.suspected || m.unreachable_since >= 0 || silent > overdue;
   // Reports alone don't show that it hears. Asked in time, it can be given up before
   // its lease ends what runs there.
-  const bool unproven = m.busy > 0 && now - m.hears_at > settings_->lease_s / 3;
+  const bool unproven =
+      m.active_attempts > 0 && now - m.last_acknowledged_at > settings_->lease_s / 3;
   if (!urgent && !unproven && silent < std::min(often, overdue)) return;
   Lost(mi);
-  if (!m.returning) Probe(mi, urgent);
+  if (!m.scaling_in) Probe(mi, urgent);
 }
 
 void Leader::Sweep() {
@@ -383,14 +393,14 @@
   size_t up = 0;
   size_t busy = 0;
   silent_machines_ = deaf_machines_ = waited_for_ = 0;
-  for (MachIdx mi : fleet_.active()) {
+  for (MachineIndex mi : fleet_.active()) {
     const Machine& m = fleet_[mi];
-    if (m.may_hold && !m.accounted) ++waited_for_;
-    if (m.returning || !m.up) continue;
+    if (m.may_run_former_attempts && !m.reconciled) ++waited_for_;
+    if (m.scaling_in || !m.up) continue;
     ++up;
-    if (m.busy > 0) ++busy;
-    if (m.probe_fails > 0) ++silent_machines_;
-    if (m.failing_since >= 0 && m.fails >= 2) ++deaf_machines_;
+    if (m.active_attempts > 0) ++busy;
+    if (m.probe_failures > 0) ++silent_machines_;
+    if (m.unreachable_since >= 0 && m.unreachable_count >= 2) ++deaf_machines_;
   }
   looked_at_ += fleet_.active().size();
   const auto fleet = static_cast<double>(up);
@@ -424,9 +434,9 @@
   probe_every_ = static_cast<double>(busy) / rate;
   if (now - lost_at_ < kFasterProbesFor) probe_every_ /= kFasterProbes;
   probe_every_ = std::max(tuning_->probe_s, probe_every_);
-  for (MachIdx mi : fleet_.active()) {
+  for (MachineIndex mi : fleet_.active()) {
     Watch(mi);
-    if (fleet_[mi].notice_until >= 0) Notice(mi);
+    if (fleet_[mi].preemption_at >= 0) Notice(mi);
   }
   gangs_.Tick();
   drainer_.Tick();
@@ -436,10 +446,11 @@
 
 void Leader::ForgetFailures() {
   const double now = ports_.clock->Now();
-  for (JobIdx j : book_.live()) {
+  for (JobIndex j : book_.active_jobs()) {
     Job& job = book_[j];
-    if (!job.spec.service || job.fail_streak == 0) continue;
-    if (job.running > 0 && now - job.failed_at > kProvenAfter) job.fail_streak = 0;
+    if (!job.spec.service || job.consecutive_failures == 0) continue;
+    if (job.tasks_running > 0 && now - job.last_failure_at > kProvenAfter)
+      job.consecutive_failures = 0;
   }
 }
 
@@ -447,11 +458,11 @@
   return unreached_since_ < 0 ? 0 : ports_.clock->Now() - unreached_since_;
 }
 
-void Leader::Notice(MachIdx mi) {
+void Leader::Notice(MachineIndex mi) {
   Machine& m = fleet_[mi];
-  const double left = m.notice_until - ports_.clock->Now();
-  for (PlacedAttempt& s : m.attempts) {
-    if (s.gone || !s.keep || s.job == kNone) continue;
+  const double left = m.preemption_at - ports_.clock->Now();
+  for (TaskAttempt& s : m.attempts) {
+    if (s.released || !s.wanted || s.job == kNoIndex) continue;
     const Job& job = book_[s.job];
     if (job.spec.gang) {
       gangs_.MachineTaken(mi, &s, left);
