--- a/src/leader/placer.cc
+++ b/src/leader/placer.cc
@@ -12,18 +12,18 @@
 
 }  // namespace
 
-Placer::Placer(JobBook* book, Fleet* fleet, FreeCapacity* free_capacity, Ranking* ranking,
+Placer::Placer(JobStore* job_store, Fleet* fleet, FreeCapacity* free_capacity, Ranking* ranking,
                Rentals* rentals, const DisruptionLedger* ledger, const Clock* clock,
                const Tuning* tuning)
-    : book_(book),
+    : job_store_(job_store),
       fleet_(fleet),
       free_capacity_(free_capacity),
       ranking_(ranking),
       rentals_(rentals),
       clock_(clock),
       tuning_(tuning),
-      preemption_(book, fleet, free_capacity, ledger, clock),
-      gangs_(book, fleet, free_capacity, &preemption_, clock, tuning) {}
+      preemption_(job_store, fleet, free_capacity, ledger, clock),
+      gangs_(job_store, fleet, free_capacity, &preemption_, clock, tuning) {}
 
 // The paper's delay scheduling: while jobs compete, one that would first have to
 // fetch its image lets the room pass, for as long as the fetch would take.
@@ -46,10 +46,10 @@
   return free_capacity_->headroom() * tuning_->headroom_free;
 }
 
-void Placer::Put(JobIdx j, uint32_t node, uint64_t attempt) {
-  Job& job = (*book_)[j];
+void Placer::Put(JobIndex j, uint32_t node, uint64_t attempt) {
+  Job& job = (*job_store_)[j];
   const bool passed = !job.spec.service && ranking_->PassedOver(job, clock_->Now());
-  fleet_->Place(node, j, job.waiting.back(), attempt, passed);
+  fleet_->Place(node, j, job.waiting_tasks.back(), attempt, passed);
   free_capacity_->Take(job, node);
   (*fleet_)[node].idle_since = -1;
 }
@@ -63,15 +63,15 @@
   });
 }
 
-void Placer::PlaceSome(JobIdx j, bool here, size_t most) {
-  Job& job = (*book_)[j];
+void Placer::PlaceSome(JobIndex j, bool here, size_t most) {
+  Job& job = (*job_store_)[j];
   const double now = clock_->Now();
-  if (!job.acknowledged || job.waiting.empty() || now < job.backoff_until) return;
+  if (!job.acknowledged || job.waiting_tasks.empty() || now < job.backoff_until) return;
   if (!free_capacity_->TeamRoom(job)) return;
   std::vector<char> zones;
   // Where its tasks are, those on their way out included.
   std::vector<uint32_t> on;
-  if (job.spec.service || job.spec.single_zone || job.spec.anti_affinity) on = job.on;
+  if (job.spec.service || job.spec.single_zone || job.spec.anti_affinity) on = job.machines;
   if (!free_capacity_->ZoneRoom(job, on, &zones)) return;
   Need need = free_capacity_->NeedOf(job, zones, on);
   need.siblings = &on;
@@ -81,8 +81,9 @@
   if (FailedBefore(need)) return;
   // A job that keeps failing shows its worth with one task at a time. Replicas that run
   // have shown it: they never complete, and the missing ones would wait for ever.
-  const uint32_t unproven = job.spec.service ? job.placed - job.running : job.placed;
-  if (job.fail_streak >= 3) most = std::min<size_t>(most, unproven > 0 ? 0 : 1);
+  const uint32_t unproven =
+      job.spec.service ? job.tasks_placed - job.tasks_running : job.tasks_placed;
+  if (job.consecutive_failures >= 3) most = std::min<size_t>(most, unproven > 0 ? 0 : 1);
   const double reserve = Reserve(job);
   auto ordinary = [&] {
     return job.spec.service || free_capacity_->free_ordinary() - reserve + kEps >= job.spec.cores;
@@ -93,7 +94,7 @@
   Picker picker(&need, &free_capacity_->nodes(), open_);
   free_capacity_->steps += open_.size();
   size_t placed = 0;
-  while (!job.waiting.empty() && placed < most && free_capacity_->TeamRoom(job)) {
+  while (!job.waiting_tasks.empty() && placed < most && free_capacity_->TeamRoom(job)) {
     if (placed > 0 && !free_capacity_->ZoneRoom(job, on, &zones)) break;
     const int at = picker.Next(ordinary());
     if (at < 0) {
@@ -112,10 +113,10 @@
 
 // Where the image is, a replica runs at once: there is room, or is made by stopping
 // arrays. The rest goes where the image must be fetched.
-void Placer::PlaceService(JobIdx j) {
-  const Job& job = (*book_)[j];
+void Placer::PlaceService(JobIndex j) {
+  const Job& job = (*job_store_)[j];
   PlaceSome(j, true, SIZE_MAX);
-  if (job.waiting.empty()) return;
+  if (job.waiting_tasks.empty()) return;
   size_t coming = 0;
   Preemption::Request request;
   request.job = j;
@@ -125,29 +126,29 @@
       fleet_->changed = true;
       return;
     }
-    request.most = job.waiting.size();
+    request.most = job.waiting_tasks.size();
     request.image_here = true;
     // To spare it the fetch, no more work is lost than the fetch would hold up.
     request.most_loss = tuning_->stop_for_image * FetchSeconds(job) * job.spec.cores;
     coming = preemption_.MakeRoom(request);
   }
-  if (coming >= job.waiting.size()) return;
-  PlaceSome(j, false, job.waiting.size() - coming);
-  if (job.waiting.size() <= coming) return;
+  if (coming >= job.waiting_tasks.size()) return;
+  PlaceSome(j, false, job.waiting_tasks.size() - coming);
+  if (job.waiting_tasks.size() <= coming) return;
   Preemption::Request anywhere;
   anywhere.job = j;
-  anywhere.most = job.waiting.size() - coming;
+  anywhere.most = job.waiting_tasks.size() - coming;
   preemption_.MakeRoom(anywhere);
 }
 
 // Most of what runs ends soon by itself: only after a while is work thrown away.
-void Placer::PreemptForArray(JobIdx j) {
-  const Job& job = (*book_)[j];
-  if (job.waiting.empty() || !job.guaranteed) return;
+void Placer::PreemptForArray(JobIndex j) {
+  const Job& job = (*job_store_)[j];
+  if (job.waiting_tasks.empty() || !job.guaranteed) return;
   if (clock_->Now() - job.waiting_since < tuning_->preempt_after_s) return;
   Preemption::Request request;
   request.job = j;
-  request.most = job.waiting.size();
+  request.most = job.waiting_tasks.size();
   // Room that arrays may not take is not made for them.
   request.ordinary = free_capacity_->free_ordinary() + kEps >= Reserve(job);
   preemption_.MakeRoom(request);
@@ -161,33 +162,33 @@
   failed_needs_.clear();
   gangs_.BeginPass();
   // Missing replicas first, the most important services before others.
-  std::vector<JobIdx> services;
+  std::vector<JobIndex> services;
   double least = 1e9;
   double waiting = 0;
-  for (JobIdx j : book_->live()) {
-    const Job& job = (*book_)[j];
-    if (job.waiting.empty() || !job.acknowledged) continue;
+  for (JobIndex j : job_store_->active_jobs()) {
+    const Job& job = (*job_store_)[j];
+    if (job.waiting_tasks.empty() || !job.acknowledged) continue;
     least = std::min(least, job.spec.cores);
     if (job.spec.service) {
       services.push_back(j);
     } else {
-      waiting += job.spec.cores * static_cast<double>(job.waiting.size());
+      waiting += job.spec.cores * static_cast<double>(job.waiting_tasks.size());
     }
   }
   if (least >= 1e9) return;
   open_ = free_capacity_->Open(least);
   free_capacity_->steps += open_.size();
-  std::stable_sort(services.begin(), services.end(), [this](JobIdx a, JobIdx b) {
-    return (*book_)[a].spec.priority > (*book_)[b].spec.priority;
+  std::stable_sort(services.begin(), services.end(), [this](JobIndex a, JobIndex b) {
+    return (*job_store_)[a].spec.priority > (*job_store_)[b].spec.priority;
   });
   preemption_.BeginServices();
-  for (JobIdx j : services) PlaceService(j);
+  for (JobIndex j : services) PlaceService(j);
   // Then the best-ranked array with a task that fits.
   contended_ = waiting > free_capacity_->free_ordinary() + free_capacity_->free_spot();
   preemption_.BeginArrays();
-  for (JobIdx j : ranking_->order()) {
-    const Job& job = (*book_)[j];
-    if (job.life != JobLife::kLive || job.waiting.empty()) continue;
+  for (JobIndex j : ranking_->order()) {
+    const Job& job = (*job_store_)[j];
+    if (job.lifecycle != JobLifecycle::kActive || job.waiting_tasks.empty()) continue;
     if (job.spec.gang) {
       gangs_.Place(j, open_);
       continue;
--- a/src/leader/placer.h
+++ b/src/leader/placer.h
@@ -13,7 +13,7 @@
 
 class Placer {
  public:
-  Placer(JobBook* book, Fleet* fleet, FreeCapacity* free_capacity, Ranking* ranking,
+  Placer(JobStore* job_store, Fleet* fleet, FreeCapacity* free_capacity, Ranking* ranking,
          Rentals* rentals, const DisruptionLedger* ledger, const Clock* clock,
          const Tuning* tuning);
 
@@ -33,16 +33,16 @@
     const std::vector<char>* types;
   };
   // Places up to `most` waiting tasks; `here`: only where the image is already.
-  void PlaceSome(JobIdx j, bool here, size_t most);
-  void PlaceService(JobIdx j);
-  void PreemptForArray(JobIdx j);
+  void PlaceSome(JobIndex j, bool here, size_t most);
+  void PlaceService(JobIndex j);
+  void PreemptForArray(JobIndex j);
   // Seconds to fetch its image, on the slowest type.
   double FetchSeconds(const Job& job) const;
   double Patience(const Job& job) const;
   double Reserve(const Job& job) const;
   bool FailedBefore(const Need& need) const;
-  void Put(JobIdx j, uint32_t node, uint64_t attempt);
-  JobBook* book_;
+  void Put(JobIndex j, uint32_t node, uint64_t attempt);
+  JobStore* job_store_;
   Fleet* fleet_;
   FreeCapacity* free_capacity_;
   Ranking* ranking_;
--- a/src/leader/planner.cc
+++ b/src/leader/planner.cc
@@ -36,10 +36,11 @@
 
 }  // namespace
 
-Planner::Planner(JobBook* book, Fleet* fleet, FreeCapacity* free_capacity, const Ranking* ranking,
-                 Rentals* rentals, const DisruptionLedger* ledger, const Drainer* drainer,
-                 const Clock* clock, const Settings* settings, const Tuning* tuning)
-    : book_(book),
+Planner::Planner(JobStore* job_store, Fleet* fleet, FreeCapacity* free_capacity,
+                 const Ranking* ranking, Rentals* rentals, const DisruptionLedger* ledger,
+                 const Drainer* drainer, const Clock* clock, const Settings* settings,
+                 const Tuning* tuning)
+    : job_store_(job_store),
       fleet_(fleet),
       free_capacity_(free_capacity),
       ranking_(ranking),
@@ -79,7 +80,7 @@
     }
     // What is rented behind a cut can't be used before the cut ends.
     o.refused = type == nullptr || now < pool.refused_until || free_capacity_->Cut(pool.zone) ||
-                drainer_->Closes(book_->types[pool.type], book_->zones[pool.zone]);
+                drainer_->Closes(job_store_->types[pool.type], job_store_->zones[pool.zone]);
     const int pending = rentals_->Pending(static_cast<uint32_t>(p));
     o.existing = pending;
     // Machines asked for count as if they were booting.
@@ -89,11 +90,11 @@
     }
     offers.push_back(o);
   }
-  for (MachIdx mi : fleet_->active()) {
+  for (MachineIndex mi : fleet_->active()) {
     const Machine& m = (*fleet_)[mi];
-    if (m.returning) continue;
+    if (m.scaling_in) continue;
     // A machine nobody named may be a late copy's ghost: it counts when it hears.
-    if (!m.listed && !m.may_hold && !(m.accounted && Fleet::Hears(m))) continue;
+    if (!m.registered && !m.may_run_former_attempts && !(m.reconciled && Fleet::Hears(m))) continue;
     ++*machines;
     for (Offer& o : offers) {
       if (o.type == m.type && o.zone == m.zone && o.spot == m.spot) ++o.existing;
@@ -101,13 +102,14 @@
     const Node& room = free_capacity_->nodes()[mi];
     if (room.cores <= kEps || m.cordoned) continue;
     bool usable = room.usable;
-    if (m.zone != kNone && free_capacity_->Cut(m.zone)) continue;
+    if (m.zone != kNoIndex && free_capacity_->Cut(m.zone)) continue;
     if (!m.up) {
       const MachineType* type = rentals_->TypeOf(m.type);
-      usable = type != nullptr && wall - m.rented_wall < type->boot_s * tuning_->late_boot + 5;
+      usable =
+          type != nullptr && wall - m.provisioned_at_wall < type->boot_s * tuning_->late_boot + 5;
     } else if (!usable) {
-      usable = !m.drain && m.notice_until < 0 && now >= m.sick_until && m.fails < 2 &&
-               free_capacity_->HeardLately(m);
+      usable = !m.unschedulable && m.preemption_at < 0 && now >= m.quarantined_until &&
+               m.unreachable_count < 2 && free_capacity_->HeardLately(m);
     }
     if (!usable) continue;
     Node n;
@@ -135,7 +137,7 @@
     return n;
   };
   // What each team may still use.
-  std::vector<double> room(book_->teams.size());
+  std::vector<double> room(job_store_->teams.size());
   for (uint32_t t = 0; t < room.size(); ++t) room[t] = free_capacity_->TeamLeft(t);
   auto within_limit = [&room](const Job& job, uint32_t count) {
     double& r = room[job.team];
@@ -146,14 +148,14 @@
     r -= count * job.spec.cores;
     return count;
   };
-  for (JobIdx j : book_->live()) {
-    const Job& job = (*book_)[j];
-    if (!job.spec.service || job.waiting.empty()) continue;
-    const uint32_t n = within_limit(job, static_cast<uint32_t>(job.waiting.size()));
+  for (JobIndex j : job_store_->active_jobs()) {
+    const Job& job = (*job_store_)[j];
+    if (!job.spec.service || job.waiting_tasks.empty()) continue;
+    const uint32_t n = within_limit(job, static_cast<uint32_t>(job.waiting_tasks.size()));
     if (n > 0) AddWant(&wants, 0, need_of(job), n);
   }
   // Replicas that drains move next need room before they are stopped.
-  for (JobIdx j : drainer_->room_wanted()) AddWant(&wants, 0, need_of((*book_)[j]), 1);
+  for (JobIndex j : drainer_->room_wanted()) AddWant(&wants, 0, need_of((*job_store_)[j]), 1);
   double lent = 0;  // kept room that arrays may use meanwhile
   const double headroom = free_capacity_->headroom();
   if (free_capacity_->unit_cores() > 0) {
@@ -168,23 +170,23 @@
   }
   // Arrays: enough to work off what waits in the time the operator set.
   auto waits = [now](const Job& job) {
-    return job.life == JobLife::kLive && !job.waiting.empty() && now >= job.backoff_until &&
-           job.fail_streak < 3;
+    return job.lifecycle == JobLifecycle::kActive && !job.waiting_tasks.empty() &&
+           now >= job.backoff_until && job.consecutive_failures < 3;
   };
   double backlog = 0;
-  for (JobIdx j : ranking_->order()) {
-    const Job& job = (*book_)[j];
+  for (JobIndex j : ranking_->order()) {
+    const Job& job = (*job_store_)[j];
     if (!waits(job) || job.spec.gang) continue;
-    const double cores = job.spec.cores * static_cast<double>(job.waiting.size());
+    const double cores = job.spec.cores * static_cast<double>(job.waiting_tasks.size());
     *waiting += cores;
     backlog += cores * ranking_->TaskSeconds(job);
   }
   size_t from = wants.size();
-  for (JobIdx j : ranking_->order()) {
+  for (JobIndex j : ranking_->order()) {
     // A gang needs room for all its tasks at once.
-    const Job& job = (*book_)[j];
-    if (!job.spec.gang || !waits(job) || job.waiting.size() < job.tasks.size()) continue;
-    const auto n = static_cast<uint32_t>(job.waiting.size());
+    const Job& job = (*job_store_)[j];
+    if (!job.spec.gang || !waits(job) || job.waiting_tasks.size() < job.tasks.size()) continue;
+    const auto n = static_cast<uint32_t>(job.waiting_tasks.size());
     if (within_limit(job, n) != n) continue;
     if (job.spec.single_zone) {
       // Each such gang may be in another zone, but must be in one.
@@ -195,13 +197,13 @@
   }
   from = wants.size();
   double left = std::min(*waiting, backlog / tuning_->drain_s) - lent;
-  for (JobIdx j : ranking_->order()) {
-    const Job& job = (*book_)[j];
+  for (JobIndex j : ranking_->order()) {
+    const Job& job = (*job_store_)[j];
     if (left <= 0) break;
     if (!waits(job) || job.spec.gang) continue;
     const double per = std::max(job.spec.cores, 0.1);
     auto n = static_cast<uint32_t>(
-        std::min<double>(static_cast<double>(job.waiting.size()), std::ceil(left / per)));
+        std::min<double>(static_cast<double>(job.waiting_tasks.size()), std::ceil(left / per)));
     n = within_limit(job, n);
     if (n == 0) continue;
     left -= n * per;
@@ -231,37 +233,37 @@
   const double now = clock_->Now();
   bool waits = fleet_->Unaccounted() > 0 || rentals_->Renting();
   double waiting = 0;
-  for (JobIdx j : book_->live()) {
-    const Job& job = (*book_)[j];
-    waits = waits || (job.spec.service && !job.waiting.empty());
-    waiting += job.spec.cores * static_cast<double>(job.waiting.size());
+  for (JobIndex j : job_store_->active_jobs()) {
+    const Job& job = (*job_store_)[j];
+    waits = waits || (job.spec.service && !job.waiting_tasks.empty());
+    waiting += job.spec.cores * static_cast<double>(job.waiting_tasks.size());
   }
   waits = waits || waiting > kLittleWaits * free_capacity_->capacity();
   const size_t most = 1 + fleet_->active().size() / kOneEmptiedOf;
-  std::vector<MachIdx> emptying;
-  std::vector<std::pair<double, MachIdx>> thin;
-  for (MachIdx mi : fleet_->active()) {
+  std::vector<MachineIndex> emptying;
+  std::vector<std::pair<double, MachineIndex>> thin;
+  for (MachineIndex mi : fleet_->active()) {
     const Machine& m = (*fleet_)[mi];
-    if (m.returning || m.cordoned) continue;
-    if (m.emptying) {
+    if (m.scaling_in || m.cordoned) continue;
+    if (m.consolidating) {
       emptying.push_back(mi);
       continue;
     }
     if (m.spot || !free_capacity_->nodes()[mi].usable || now - m.up_at <= tuning_->settled_s)
       continue;
     const bool settled =
-        std::all_of(m.attempts.begin(), m.attempts.end(), [this, now](const PlacedAttempt& s) {
-          return s.gone || (s.keep && s.job != kNone && s.state == TaskState::kRunning &&
-                            now - s.launched_at > tuning_->settled_s);
+        std::all_of(m.attempts.begin(), m.attempts.end(), [this, now](const TaskAttempt& s) {
+          return s.released || (s.wanted && s.job != kNoIndex && s.state == TaskState::kRunning &&
+                                now - s.launched_at > tuning_->settled_s);
         });
     if (settled) thin.emplace_back(m.used_cores, mi);
   }
-  for (MachIdx mi : emptying) {
+  for (MachineIndex mi : emptying) {
     Machine& m = (*fleet_)[mi];
-    if (waits && now - m.emptying_since > 3 && now - m.moved_at > 3) {
+    if (waits && now - m.consolidating_since > 3 && now - m.last_move_at > 3) {
       // Its room is needed after all.
-      m.emptying = m.drain = false;
-    } else if (!waits && now - m.moved_at > 0.5) {
+      m.consolidating = m.unschedulable = false;
+    } else if (!waits && now - m.last_move_at > 0.5) {
       MoveOne(mi);
     }
   }
@@ -276,23 +278,23 @@
                         free_capacity_->room_ahead();
     if (others < used + kept) return;
     free = others - used;
-    m.emptying = m.drain = true;
-    m.emptying_since = now;
+    m.consolidating = m.unschedulable = true;
+    m.consolidating_since = now;
     emptying.push_back(mi);
     spdlog::info("emptying machine {}: {} cores in use there, {} free elsewhere", m.name, used,
                  others);
   }
 }
 
-void Planner::MoveOne(MachIdx mi) {
+void Planner::MoveOne(MachineIndex mi) {
   Machine& m = (*fleet_)[mi];
-  for (PlacedAttempt& s : m.attempts) {
-    if (s.gone || !s.keep || s.job == kNone || s.state != TaskState::kRunning) continue;
-    const Job& job = (*book_)[s.job];
-    if (!job.spec.service) continue;               // arrays end by themselves
-    if (job.running < job.tasks.size()) continue;  // one replica of a job at a time
+  for (TaskAttempt& s : m.attempts) {
+    if (s.released || !s.wanted || s.job == kNoIndex || s.state != TaskState::kRunning) continue;
+    const Job& job = (*job_store_)[s.job];
+    if (!job.spec.service) continue;                     // arrays end by themselves
+    if (job.tasks_running < job.tasks.size()) continue;  // one replica of a job at a time
     if (ledger_->AllowsReplica(s.job)) continue;
-    std::vector<uint32_t> on = job.on;
+    std::vector<uint32_t> on = job.machines;
     on.erase(std::find(on.begin(), on.end(), mi));
     std::vector<char> zones;
     if (!free_capacity_->ZoneRoom(job, on, &zones)) continue;
@@ -302,35 +304,36 @@
     const std::vector<uint32_t> open = free_capacity_->Open(job.spec.cores);
     // It is itself drained, and so not among them.
     if (Picker(&need, &free_capacity_->nodes(), open).Next(true) < 0) continue;
-    spdlog::info("moving {} off {}", s.name, m.name);
+    spdlog::info("moving {} off {}", s.task_name, m.name);
     fleet_->Unwant(mi, &s, 0);
-    m.moved_at = clock_->Now();
+    m.last_move_at = clock_->Now();
     fleet_->changed = true;
     return;
   }
 }
 
 // Empty machines that are of no more use, however much waits.
-bool Planner::ReturnIfUseless(MachIdx mi, double boot) {
+bool Planner::ReturnIfUseless(MachineIndex mi, double boot) {
   Machine& m = (*fleet_)[mi];
   const double now = clock_->Now();
   if (!m.up) {
-    if (clock_->Wall() - m.rented_wall > boot * tuning_->give_up_boot && now - m.known_at > boot) {
+    if (clock_->Wall() - m.provisioned_at_wall > boot * tuning_->give_up_boot &&
+        now - m.discovered_at > boot) {
       rentals_->Return(mi, "does not come up");
     }
     return true;
   }
-  if (m.busy > 0 || !m.accounted) {
+  if (m.active_attempts > 0 || !m.reconciled) {
     m.idle_since = -1;
     return true;
   }
   if (m.idle_since < 0) m.idle_since = now;
-  const char* why = m.notice_until >= 0                   ? "the cloud takes it, and it is empty"
+  const char* why = m.preemption_at >= 0                  ? "the cloud takes it, and it is empty"
                     : rentals_->TypeOf(m.type) == nullptr ? "its type is not offered"
-                    : m.sick_count >= 2                   ? "fails the tasks it starts"
-                    : m.emptying                          ? "emptied"
-                    : m.drained && m.attempts.empty()     ? "drained"
-                                                          : nullptr;
+                    : m.quarantine_count >= 2             ? "fails the tasks it starts"
+                    : m.consolidating                     ? "emptied"
+                    : m.scale_in_when_empty && m.attempts.empty() ? "drained"
+                                                                  : nullptr;
   if (why != nullptr) rentals_->Return(mi, why);
   return why != nullptr;
 }
@@ -339,16 +342,17 @@
   const double now = clock_->Now();
   bool services_wait = false;
   double waiting = 0;
-  for (JobIdx j : book_->live()) {
-    const Job& job = (*book_)[j];
-    if (job.waiting.empty() || now < job.backoff_until || !free_capacity_->TeamRoom(job)) continue;
+  for (JobIndex j : job_store_->active_jobs()) {
+    const Job& job = (*job_store_)[j];
+    if (job.waiting_tasks.empty() || now < job.backoff_until || !free_capacity_->TeamRoom(job))
+      continue;
     services_wait = services_wait || job.spec.service;
-    waiting += job.spec.cores * static_cast<double>(job.waiting.size());
+    waiting += job.spec.cores * static_cast<double>(job.waiting_tasks.size());
   }
   double free_ordinary = free_capacity_->free_ordinary() + free_capacity_->lent_reserve();
-  for (MachIdx mi : fleet_->active()) {
+  for (MachineIndex mi : fleet_->active()) {
     Machine& m = (*fleet_)[mi];
-    if (m.returning || m.cut) continue;
+    if (m.scaling_in || m.partitioned) continue;
     const MachineType* type = rentals_->TypeOf(m.type);
     const double boot = type == nullptr ? 60 : type->boot_s;
     if (ReturnIfUseless(mi, boot)) continue;
--- a/src/leader/planner.h
+++ b/src/leader/planner.h
@@ -12,7 +12,7 @@
 
 class Planner {
  public:
-  Planner(JobBook* book, Fleet* fleet, FreeCapacity* free_capacity, const Ranking* ranking,
+  Planner(JobStore* job_store, Fleet* fleet, FreeCapacity* free_capacity, const Ranking* ranking,
           Rentals* rentals, const DisruptionLedger* ledger, const Drainer* drainer,
           const Clock* clock, const Settings* settings, const Tuning* tuning);
 
@@ -24,11 +24,11 @@
   std::vector<Want> Wants(double* waiting);
   void Rent();
   void ReturnIdle();
-  bool ReturnIfUseless(MachIdx m, double boot);
+  bool ReturnIfUseless(MachineIndex m, double boot);
   void Consolidate();
-  void MoveOne(MachIdx m);
+  void MoveOne(MachineIndex m);
 
-  JobBook* book_;
+  JobStore* job_store_;
   Fleet* fleet_;
   FreeCapacity* free_capacity_;
   const Ranking* ranking_;
--- a/src/leader/preemption.cc
+++ b/src/leader/preemption.cc
@@ -34,18 +34,19 @@
 bool Preemption::Exhausted() const { return asked_ >= kMostJobs; }
 
 bool Preemption::MayAsk(const Job& job) {
-  if (!job.acknowledged || job.waiting.empty() || !free_capacity_->TeamRoom(job)) return false;
-  if (clock_->Now() < job.backoff_until || job.fail_streak >= 3) return false;
+  if (!job.acknowledged || job.waiting_tasks.empty() || !free_capacity_->TeamRoom(job))
+    return false;
+  if (clock_->Now() < job.backoff_until || job.consecutive_failures >= 3) return false;
   return ++asked_ <= kMostJobs;
 }
 
-bool Preemption::MayStop(const Job& job, const PlacedAttempt& slot) const {
-  if (slot.gone || !slot.keep || slot.job == kNone || slot.service) return false;
-  const Job& other = (*book_)[slot.job];
+bool Preemption::MayStop(const Job& job, const TaskAttempt& slot) const {
+  if (slot.released || !slot.wanted || slot.job == kNoIndex || slot.service) return false;
+  const Job& other = (*job_store_)[slot.job];
   if (other.spec.gang) return false;
   // It went first once because others always did: stopped for one of those, its place
   // would go to the next that was passed over, and nothing would ever end.
-  if (slot.passed && !job.spec.service) return false;
+  if (slot.placed_by_aging && !job.spec.service) return false;
   const Team* theirs = free_capacity_->TeamOf(other.team);
   const bool lower = other.spec.priority < job.spec.priority;
   const bool beyond = job.guaranteed && !other.guaranteed && other.team != job.team &&
@@ -62,10 +63,10 @@
   const double now = clock_->Now();
   std::vector<std::pair<double, size_t>> victims;
   for (size_t i = 0; i < m.attempts.size(); ++i) {
-    const PlacedAttempt& s = m.attempts[i];
+    const TaskAttempt& s = m.attempts[i];
     if (!MayStop(job, s)) continue;
     if (std::find(chosen->begin(), chosen->end(), i) != chosen->end()) continue;
-    const Job& other = (*book_)[s.job];
+    const Job& other = (*job_store_)[s.job];
     // A fetch given up is lost like a run.
     const double ran = now - (s.running_since < 0 ? s.launched_at : s.running_since);
     const double lost = other.spec.checkpoint_interval_s > 0
@@ -81,7 +82,7 @@
   double loss = 0;
   for (const auto& [cost, i] : victims) {
     if (Fits(need, *node)) break;
-    const PlacedAttempt& s = m.attempts[i];
+    const TaskAttempt& s = m.attempts[i];
     Subtract(node, -s.cores, -s.gpus, -s.memory_gb);
     loss += cost;
     chosen->push_back(i);
@@ -89,14 +90,14 @@
   return Fits(need, *node) ? loss : -1;
 }
 
-Node Preemption::RoomToCome(MachIdx mi) const {
+Node Preemption::RoomToCome(MachineIndex mi) const {
   const Node& room = free_capacity_->nodes()[mi];
   Node node;
   node.cores = room.cores;
   node.gpus = room.gpus;
   node.memory_gb = room.memory_gb;
-  for (const PlacedAttempt& s : (*fleet_)[mi].attempts) {
-    if (!s.gone && !s.keep) Subtract(&node, -s.cores, -s.gpus, -s.memory_gb);
+  for (const TaskAttempt& s : (*fleet_)[mi].attempts) {
+    if (!s.released && !s.wanted) Subtract(&node, -s.cores, -s.gpus, -s.memory_gb);
   }
   auto claim = claims_.find(mi);
   if (claim != claims_.end()) {
@@ -106,10 +107,11 @@
 }
 
 bool Preemption::HasImage(const Job& job, const Machine& m) const {
-  return std::find(m.images.begin(), m.images.end(), job.image) != m.images.end();
+  return std::find(m.cached_images.begin(), m.cached_images.end(), job.image) !=
+         m.cached_images.end();
 }
 
-void Preemption::Claim(MachIdx mi, const Need& need) {
+void Preemption::Claim(MachineIndex mi, const Need& need) {
   Amounts& claim = claims_[mi];
   claim.cores += need.cores;
   claim.gpus += need.gpus;
@@ -118,7 +120,7 @@
 
 bool Preemption::WithinBudgets(const Job& job, const std::vector<Choice>& choices) const {
   if (job.guaranteed || !ledger_->active()) return true;
-  std::vector<JobIdx> tasks;
+  std::vector<JobIndex> tasks;
   for (const Choice& choice : choices) {
     for (size_t i : choice.attempts) {
       tasks.push_back((*fleet_)[choice.machine].attempts[i].job);
@@ -130,9 +132,9 @@
 void Preemption::Stop(const Job& job, const Choice& choice) {
   Machine& machine = (*fleet_)[choice.machine];
   for (size_t i : choice.attempts) {
-    PlacedAttempt& s = machine.attempts[i];
-    const Job& other = (*book_)[s.job];
-    spdlog::info("stopping {} on {} for {} ({})", s.name, machine.name, job.id,
+    TaskAttempt& s = machine.attempts[i];
+    const Job& other = (*job_store_)[s.job];
+    spdlog::info("stopping {} on {} for {} ({})", s.task_name, machine.name, job.id,
                  job.guaranteed ? "guaranteed" : "higher priority");
     const bool saves =
         other.spec.checkpoint_interval_s > 0 && other.spec.checkpoint_grace_s <= kShortSave;
@@ -141,17 +143,17 @@
 }
 
 size_t Preemption::MakeRoom(const Request& request) {
-  const Job& job = (*book_)[request.job];
+  const Job& job = (*job_store_)[request.job];
   if (!MayAsk(job)) return 0;
   std::vector<char> zones;
-  if (!free_capacity_->ZoneRoom(job, job.on, &zones)) return 0;
-  const Need need = free_capacity_->NeedOf(job, zones, job.on);
-  auto wanted = std::min({job.waiting.size(), kMostPlaces, request.most});
+  if (!free_capacity_->ZoneRoom(job, job.machines, &zones)) return 0;
+  const Need need = free_capacity_->NeedOf(job, zones, job.machines);
+  auto wanted = std::min({job.waiting_tasks.size(), kMostPlaces, request.most});
   wanted = std::min(wanted, static_cast<size_t>(std::max(0.0, free_capacity_->TeamLeft(job.team) /
                                                                   std::max(job.spec.cores, 1e-3))));
   const size_t all = wanted;
   std::vector<Choice> choices;
-  for (MachIdx mi : fleet_->active()) {
+  for (MachineIndex mi : fleet_->active()) {
     if (wanted == 0) return all;
     const Machine& m = (*fleet_)[mi];
     const Node& room = free_capacity_->nodes()[mi];
@@ -159,7 +161,7 @@
     if (!request.ordinary && !room.spot) continue;
     ++free_capacity_->steps;
     if (request.image_here && !HasImage(job, m)) continue;
-    if (job.spec.service && m.lent_cores + room.cores + kEps < job.spec.cores) continue;
+    if (job.spec.service && m.preemptible_cores + room.cores + kEps < job.spec.cores) continue;
     // Room on its way already is enough, unless it is spoken for.
     Node node = RoomToCome(mi);
     if (Fits(need, node)) {
@@ -184,13 +186,13 @@
   return all - wanted;
 }
 
-void Preemption::AddChoices(const Job& job, const Need& need, MachIdx mi,
+void Preemption::AddChoices(const Job& job, const Need& need, MachineIndex mi,
                             std::vector<Choice>* out) const {
   const Machine& m = (*fleet_)[mi];
   Node node = RoomToCome(mi);
   std::vector<size_t> chosen;
   // No machine has to take more than the whole gang.
-  for (size_t place = 0; place < job.waiting.size(); ++place) {
+  for (size_t place = 0; place < job.waiting_tasks.size(); ++place) {
     const size_t before = chosen.size();
     const double loss = Loss(job, m, &node, &chosen);
     if (loss < 0) return;
@@ -203,17 +205,17 @@
   }
 }
 
-std::vector<MachIdx> Preemption::MakeGangRoom(const Request& request,
-                                              const std::vector<std::vector<char>>& zone_sets) {
-  const Job& job = (*book_)[request.job];
-  const size_t count = job.waiting.size();
+std::vector<MachineIndex> Preemption::MakeGangRoom(
+    const Request& request, const std::vector<std::vector<char>>& zone_sets) {
+  const Job& job = (*job_store_)[request.job];
+  const size_t count = job.waiting_tasks.size();
   if (count > kMostPlaces || !MayAsk(job)) return {};
   std::vector<Choice> best;
   double least = 0;
   for (const std::vector<char>& zones : zone_sets) {
     const Need need = free_capacity_->NeedOf(job, zones, {});
     std::vector<Choice> choices;
-    for (MachIdx mi : fleet_->active()) {
+    for (MachineIndex mi : fleet_->active()) {
       const Node& room = free_capacity_->nodes()[mi];
       if (!room.usable || !Allows(need, room.type, room.zone, room.spot)) continue;
       ++free_capacity_->steps;
@@ -233,7 +235,7 @@
       least = loss;
     }
   }
-  std::vector<MachIdx> machines;
+  std::vector<MachineIndex> machines;
   const Need need = free_capacity_->NeedOf(job, {}, {});
   for (const Choice& choice : best) {
     Claim(choice.machine, need);
--- a/src/leader/preemption.h
+++ b/src/leader/preemption.h
@@ -13,9 +13,13 @@
 
 class Preemption {
  public:
-  Preemption(JobBook* book, Fleet* fleet, FreeCapacity* free_capacity,
+  Preemption(JobStore* job_store, Fleet* fleet, FreeCapacity* free_capacity,
              const DisruptionLedger* ledger, const Clock* clock)
-      : book_(book), fleet_(fleet), free_capacity_(free_capacity), ledger_(ledger), clock_(clock) {}
+      : job_store_(job_store),
+        fleet_(fleet),
+        free_capacity_(free_capacity),
+        ledger_(ledger),
+        clock_(clock) {}
 
   // A pass begins: nothing is claimed yet. First services are served, then arrays.
   void BeginServices();
@@ -24,7 +28,7 @@
   bool Exhausted() const;
 
   struct Request {
-    JobIdx job = kNone;
+    JobIndex job = kNoIndex;
     size_t most = 0;          // places wanted at the most
     bool image_here = false;  // only on machines that hold the job's image
     double most_loss = 1e18;  // in core-seconds for each place
@@ -35,40 +39,41 @@
   // Makes room for the whole gang in one of the sets of zones, or stops nothing; of the
   // request, `most` and `ordinary` do not count. Returns the machines on which the room is,
   // or is on its way.
-  std::vector<MachIdx> MakeGangRoom(const Request& request,
-                                    const std::vector<std::vector<char>>& zone_sets);
+  std::vector<MachineIndex> MakeGangRoom(const Request& request,
+                                         const std::vector<std::vector<char>>& zone_sets);
 
  private:
   // A place for one task, and what has to be stopped for it.
   struct Choice {
     double loss = 0;
-    MachIdx machine = kNone;
+    MachineIndex machine = kNoIndex;
     std::vector<size_t> attempts;
   };
 
   bool MayAsk(const Job& job);
-  bool MayStop(const Job& job, const PlacedAttempt& slot) const;
+  bool MayStop(const Job& job, const TaskAttempt& slot) const;
   // What is free there, with what is being stopped and without what is spoken for.
-  Node RoomToCome(MachIdx mi) const;
+  Node RoomToCome(MachineIndex mi) const;
   // What stopping tasks for one more place would lose, in core-seconds; the attempts are added
   // to `chosen`. Negative: no room can be made.
   double Loss(const Job& job, const Machine& m, Node* node, std::vector<size_t>* chosen) const;
   // Places for the gang's tasks on one machine, the cheapest first.
   bool HasImage(const Job& job, const Machine& m) const;
-  void AddChoices(const Job& job, const Need& need, MachIdx mi, std::vector<Choice>* out) const;
-  void Claim(MachIdx mi, const Need& need);
+  void AddChoices(const Job& job, const Need& need, MachineIndex mi,
+                  std::vector<Choice>* out) const;
+  void Claim(MachineIndex mi, const Need& need);
   // Whether the budgets allow what has to be stopped for these places. A guarantee is kept
   // whatever the budgets say.
   bool WithinBudgets(const Job& job, const std::vector<Choice>& choices) const;
   void Stop(const Job& job, const Choice& choice);
 
-  JobBook* book_;
+  JobStore* job_store_;
   Fleet* fleet_;
   FreeCapacity* free_capacity_;
   const DisruptionLedger* ledger_;
   const Clock* clock_;
-  std::unordered_map<MachIdx, Amounts> claims_;  // room on its way that is spoken for
-  int asked_ = 0;                                // jobs this pass looked for tasks to stop for
+  std::unordered_map<MachineIndex, Amounts> claims_;  // room on its way that is spoken for
+  int asked_ = 0;                                     // jobs this pass looked for tasks to stop for
 };
 
 }  // namespace deckhall
--- a/src/leader/ranking.cc
+++ b/src/leader/ranking.cc
@@ -32,21 +32,21 @@
 }
 
 double Ranking::WorkLeft(const Job& job) const {
-  const auto tasks = static_cast<double>(job.tasks.size() - job.done);
+  const auto tasks = static_cast<double>(job.tasks.size() - job.tasks_done);
   return std::max(tasks * std::max(job.spec.cores, 0.1) * TaskSeconds(job), 1e-3);
 }
 
 void Ranking::Guarantees() {
-  std::vector<JobIdx> order = book_->live();
-  std::sort(order.begin(), order.end(), [this](JobIdx a, JobIdx b) {
-    const Job& x = (*book_)[a];
-    const Job& y = (*book_)[b];
+  std::vector<JobIndex> order = job_store_->active_jobs();
+  std::sort(order.begin(), order.end(), [this](JobIndex a, JobIndex b) {
+    const Job& x = (*job_store_)[a];
+    const Job& y = (*job_store_)[b];
     if (x.submitted_wall != y.submitted_wall) return x.submitted_wall < y.submitted_wall;
     return x.id < y.id;
   });
-  std::vector<Use> sum(book_->teams.size());
-  for (JobIdx j : order) {
-    Job& job = (*book_)[j];
+  std::vector<Use> sum(job_store_->teams.size());
+  for (JobIndex j : order) {
+    Job& job = (*job_store_)[j];
     const Team* team = free_capacity_->TeamOf(job.team);
     Use& s = sum[job.team];
     const auto n = static_cast<double>(job.tasks.size());
@@ -62,7 +62,7 @@
 // waiting for ever. Its limit, its zones and who may be stopped for it stay as
 // they are.
 bool Ranking::PassedOver(const Job& job, double now) const {
-  return !job.waiting.empty() && now - job.starved_since > tuning_->passed_over_s;
+  return !job.waiting_tasks.empty() && now - job.starved_since > tuning_->passed_over_s;
 }
 
 void Ranking::Refresh() {
@@ -70,45 +70,47 @@
   if (now < due_) return;
   const double weights[] = {tuning_->weight_idle, tuning_->weight_normal, tuning_->weight_urgent,
                             tuning_->weight_production};
-  std::vector<JobIdx> arrays;
+  std::vector<JobIndex> arrays;
   std::vector<FspJob> run;
-  for (JobIdx j : book_->live()) {
-    Job& job = (*book_)[j];
+  for (JobIndex j : job_store_->active_jobs()) {
+    Job& job = (*job_store_)[j];
     if (job.spec.service) continue;
     arrays.push_back(j);
-    if (job.left <= 0 && job.done > 0) {
+    if (job.remaining_core_seconds <= 0 && job.tasks_done > 0) {
       // Over in the imagined run and not in the real one. Unless it was only
       // kept waiting, its estimate was too low: it is measured anew, or it would
       // hold the first rank for good.
       const double est = job.spec.estimated_runtime_s * job.spec.cores;
-      if (TaskSeconds(job) * job.spec.cores > est * 1.2) job.left = WorkLeft(job) * 0.5;
+      if (TaskSeconds(job) * job.spec.cores > est * 1.2)
+        job.remaining_core_seconds = WorkLeft(job) * 0.5;
     }
     FspJob f;
-    f.left = job.left;
+    f.left = job.remaining_core_seconds;
     const Team* team = free_capacity_->TeamOf(job.team);
     f.weight = (team != nullptr && team->cores > 0 ? team->cores : 1.0) *
                weights[static_cast<int>(job.spec.priority)];
-    f.cap = std::max(0.1, static_cast<double>(job.tasks.size() - job.done) * job.spec.cores);
+    f.cap = std::max(0.1, static_cast<double>(job.tasks.size() - job.tasks_done) * job.spec.cores);
     run.push_back(f);
   }
   if (ranked_at_ >= 0) FspAdvance(&run, free_capacity_->capacity(), now - ranked_at_);
   const auto finish = FspFinish(run, free_capacity_->capacity());
   for (size_t i = 0; i < arrays.size(); ++i) {
-    (*book_)[arrays[i]].left = run[i].left;
-    (*book_)[arrays[i]].finish = finish[i];
+    (*job_store_)[arrays[i]].remaining_core_seconds = run[i].left;
+    (*job_store_)[arrays[i]].virtual_finish_time = finish[i];
   }
   Guarantees();
-  std::sort(arrays.begin(), arrays.end(), [this, now](JobIdx a, JobIdx b) {
-    const Job& x = (*book_)[a];
-    const Job& y = (*book_)[b];
+  std::sort(arrays.begin(), arrays.end(), [this, now](JobIndex a, JobIndex b) {
+    const Job& x = (*job_store_)[a];
+    const Job& y = (*job_store_)[b];
     if (PassedOver(x, now) != PassedOver(y, now)) return PassedOver(x, now);
     if (x.guaranteed != y.guaranteed) return x.guaranteed;
-    if (x.finish != y.finish) return x.finish < y.finish;
+    if (x.virtual_finish_time != y.virtual_finish_time)
+      return x.virtual_finish_time < y.virtual_finish_time;
     if (x.submitted_wall != y.submitted_wall) return x.submitted_wall < y.submitted_wall;
     return x.id < y.id;
   });
   for (size_t i = 0; i < arrays.size(); ++i) {
-    (*book_)[arrays[i]].rank = static_cast<uint32_t>(i);
+    (*job_store_)[arrays[i]].rank = static_cast<uint32_t>(i);
   }
   order_ = std::move(arrays);
   ranked_at_ = now;
--- a/src/leader/ranking.h
+++ b/src/leader/ranking.h
@@ -10,9 +10,9 @@
 
 class Ranking {
  public:
-  Ranking(JobBook* book, const FreeCapacity* free_capacity, const Clock* clock,
+  Ranking(JobStore* job_store, const FreeCapacity* free_capacity, const Clock* clock,
           const Tuning* tuning)
-      : book_(book), free_capacity_(free_capacity), clock_(clock), tuning_(tuning) {}
+      : job_store_(job_store), free_capacity_(free_capacity), clock_(clock), tuning_(tuning) {}
 
   // None of its tasks found a place for so long that it goes first once.
   bool PassedOver(const Job& job, double now) const;
@@ -21,7 +21,7 @@
   // Refreshes the ranks if that is due.
   void Refresh();
   // Arrays, the first to be served first.
-  const std::vector<JobIdx>& order() const { return order_; }
+  const std::vector<JobIndex>& order() const { return order_; }
   // A task completed after running for so long.
   void Observed(const Job& job, double run_s);
   // Expected run time of one of its tasks.
@@ -37,13 +37,13 @@
 
   void Guarantees();
 
-  JobBook* book_;
+  JobStore* job_store_;
   const FreeCapacity* free_capacity_;
   const Clock* clock_;
   const Tuning* tuning_;
   double due_ = 0;
   double ranked_at_ = -1;
-  std::vector<JobIdx> order_;
+  std::vector<JobIndex> order_;
   std::vector<ClassStats> classes_;
 };
 
--- /dev/null
+++ b/src/state/key_value_client.cc
@@ -0,0 +1,163 @@
+#include "state/key_value_client.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+namespace deckhall {
+namespace {
+
+constexpr double kTimeout = 2.0;
+constexpr double kMinCommitTimeoutSeconds = 0.4;
+constexpr double kSlowCommitFactor = 4;
+constexpr double kCommitSmoothing = 0.1;
+constexpr size_t kMaxResponseBytes = 4 << 20;
+
+}  // namespace
+
+// The three controllers share the limits; the one that leads needs most of them.
+KeyValueClient::KeyValueClient(Loop* loop, const Clock* clock, Endpoint at, double rps,
+                               double write_rps)
+    : clock_(clock),
+      endpoint_(std::move(at)),
+      requests_(rps * 0.7, std::max(4.0, rps * 0.6)),
+      writes_(write_rps * 0.85, WriteBurst(write_rps)),
+      rps_(rps),
+      http_(loop, 16, kMaxResponseBytes),
+      refusal_timer_(loop, [this] {
+        for (Done& done : std::exchange(refused_calls_, {})) {
+          KeyValueResponse answer;
+          answer.status = KeyValueStatus::kUnavailable;
+          done(answer);
+        }
+      }) {}
+
+void KeyValueClient::Send(const HttpCall& call, double reserve, Reader reader, Done done) {
+  if (!requests_.Take(clock_->Now(), 1, reserve)) {
+    refused_calls_.push_back(std::move(done));
+    if (!refusal_timer_.active()) refusal_timer_.Start(0.02);
+    return;
+  }
+  const std::string what = call.method + " " + call.path;
+  http_.Call(endpoint_, call,
+             [this, what, reader = std::move(reader), done = std::move(done)](const HttpResult& r) {
+               KeyValueResponse answer;
+               if (r.status == 0) {
+                 answer.status =
+                     r.sent ? KeyValueStatus::kIndeterminate : KeyValueStatus::kUnavailable;
+               } else if (r.status == 429 || r.status == 503) {
+                 answer.status = KeyValueStatus::kUnavailable;
+                 if (r.status == 429) requests_.Drain();
+               } else {
+                 reader(r, &answer);
+                 if (answer.status == KeyValueStatus::kIndeterminate) {
+                   spdlog::warn("state service: unusable answer {} to {}", r.status, what);
+                 }
+               }
+               done(std::move(answer));
+             });
+}
+
+void KeyValueClient::Commit(const Transaction& txn, Done done) {
+  const double puts = static_cast<double>(txn.mutations.size());
+  // Bigger than the burst: waits until the bucket is full, then goes in debt.
+  if (!writes_.Take(clock_->Now(), puts, -puts)) {
+    refused_calls_.push_back(std::move(done));
+    if (!refusal_timer_.active()) refusal_timer_.Start(0.02);
+    return;
+  }
+  // One that takes far longer than most is given up: written again under the same
+  // versions, it is sooner known to be durable.
+  const double timeout =
+      std::clamp(kSlowCommitFactor * smoothed_commit_s_, kMinCommitTimeoutSeconds, kTimeout);
+  const double sent = clock_->Now();
+  Send(
+      {"POST", "/txn", EncodeTransaction(txn), timeout}, 2,
+      [](const HttpResult& r, KeyValueResponse* a) {
+        if (r.status == 200 && DecodeRevision(r.body, &a->number)) a->status = KeyValueStatus::kOk;
+        if (r.status == 409) a->status = KeyValueStatus::kConflict;
+        if (r.status == 400) a->status = KeyValueStatus::kInvalid;
+        if (r.status == 400) spdlog::warn("state service refuses a transaction: {}", r.body);
+      },
+      [this, sent, done = std::move(done)](const KeyValueResponse& a) {
+        if (a.status != KeyValueStatus::kUnavailable) {
+          smoothed_commit_s_ += kCommitSmoothing * (clock_->Now() - sent - smoothed_commit_s_);
+        }
+        done(a);
+      });
+}
+
+void KeyValueClient::Get(const std::string& key, Done done) {
+  Send(
+      {"GET", "/kv/" + key, "", kTimeout}, 2,
+      [](const HttpResult& r, KeyValueResponse* a) {
+        KeyValue row;
+        if (r.status == 200 && DecodeKeyValue(r.body, &row)) {
+          a->status = KeyValueStatus::kOk;
+          a->found = true;
+          a->entries.push_back(std::move(row));
+        } else if (r.status == 404 && DecodeRevision(r.body, &a->number)) {
+          a->status = KeyValueStatus::kOk;
+        }
+      },
+      std::move(done));
+}
+
+void KeyValueClient::List(const std::string& prefix, const std::string& after, Done done) {
+  std::string path = "/kv?starts=" + prefix + "&page=200";
+  if (!after.empty()) path += "&from=" + after;
+  Send(
+      {"GET", path, "", kTimeout}, 2,
+      [](const HttpResult& r, KeyValueResponse* a) {
+        if (r.status == 200 && DecodeKeyValues(r.body, &a->entries, &a->truncated, &a->number)) {
+          a->status = KeyValueStatus::kOk;
+        }
+      },
+      std::move(done));
+}
+
+void KeyValueClient::GrantLease(int ttl_ms, Done done) {
+  Send(
+      {"POST", "/grants", EncodeLeaseGrant(ttl_ms), kTimeout}, 1,
+      [](const HttpResult& r, KeyValueResponse* a) {
+        if (r.status == 200 && DecodeLeaseGrant(r.body, &a->number))
+          a->status = KeyValueStatus::kOk;
+      },
+      std::move(done));
+}
+
+void KeyValueClient::KeepAliveLease(uint64_t lease, double timeout_s, Done done) {
+  Send(
+      {"POST", "/grants/" + std::to_string(lease) + "/extend", "{}", timeout_s}, -rps_ * 0.1,
+      [](const HttpResult& r, KeyValueResponse* a) {
+        if (r.status == 200) a->status = KeyValueStatus::kOk;
+        if (r.status == 404) a->status = KeyValueStatus::kConflict;
+      },
+      std::move(done));
+}
+
+void KeyValueClient::RevokeLease(uint64_t lease, Done done) {
+  Send(
+      {"DELETE", "/grants/" + std::to_string(lease), "", kTimeout}, 1,
+      [](const HttpResult& r, KeyValueResponse* a) {
+        if (r.status == 200 || r.status == 204) a->status = KeyValueStatus::kOk;
+        if (r.status == 404) a->status = KeyValueStatus::kConflict;
+      },
+      std::move(done));
+}
+
+void KeyValueClient::Watch(const std::string& prefix, uint64_t after, int hold_ms, Done done) {
+  const std::string path = "/follow?starts=" + prefix + "&from=" + std::to_string(after) +
+                           "&hold_ms=" + std::to_string(hold_ms);
+  Send(
+      {"GET", path, "", hold_ms / 1000.0 + 3}, 2,
+      [](const HttpResult& r, KeyValueResponse* a) {
+        if (r.status == 200 && DecodeRevision(r.body, &a->number)) a->status = KeyValueStatus::kOk;
+        if (r.status == 410) a->status = KeyValueStatus::kConflict;
+      },
+      std::move(done));
+}
+
+double KeyValueClient::AvailableWriteTokens() { return writes_.Level(clock_->Now()); }
+
+}  // namespace deckhall
--- a/src/state/page_split.cc
+++ b/src/state/page_split.cc
@@ -10,8 +10,9 @@
 
 // First fit: each row goes to the first page with room. One that is larger than a page
 // gets a page of its own.
-RowGroups Pack(const std::vector<RowSize>& rows, size_t RowSize::*size, size_t page_bytes) {
-  RowGroups groups;
+RecordGroups Pack(const std::vector<RecordSize>& rows, size_t RecordSize::*size,
+                  size_t page_bytes) {
+  RecordGroups groups;
   std::vector<size_t> used;
   for (size_t i = 0; i < rows.size(); ++i) {
     const size_t bytes = rows[i].*size;
@@ -29,11 +30,12 @@
 
 }  // namespace
 
-RowGroups PlanSplit(const std::vector<RowSize>& rows, const SplitLimits& limits) {
-  RowGroups groups = Pack(rows, &RowSize::reserve, limits.fill_bytes);
+RecordGroups PlanPageSplit(const std::vector<RecordSize>& rows, const SplitLimits& limits) {
+  RecordGroups groups = Pack(rows, &RecordSize::reserve, limits.fill_bytes);
   // Tight pages are split again later; what matters now is one transaction.
-  if (groups.size() > limits.most_pages) groups = Pack(rows, &RowSize::text, limits.most_bytes);
-  const size_t most = std::max<size_t>(limits.most_pages, 1);
+  if (groups.size() > limits.max_pages)
+    groups = Pack(rows, &RecordSize::text, limits.max_value_bytes);
+  const size_t most = std::max<size_t>(limits.max_pages, 1);
   while (groups.size() > most) {
     std::vector<size_t> rest = std::move(groups.back());
     groups.pop_back();
--- a/src/state/page_split.h
+++ b/src/state/page_split.h
@@ -6,21 +6,21 @@
 
 namespace deckhall {
 
-struct RowSize {
+struct RecordSize {
   size_t reserve = 0;  // to which the row may grow, its separator included
   size_t text = 0;     // what it takes now, its separator included
 };
 
 struct SplitLimits {
-  size_t fill_bytes = 0;  // to which pages are filled
-  size_t most_bytes = 0;  // of a value, or it is refused
-  size_t most_pages = 0;  // that one transaction may write
+  size_t fill_bytes = 0;       // to which pages are filled
+  size_t max_value_bytes = 0;  // of a value, or it is refused
+  size_t max_pages = 0;        // that one transaction may write
 };
 
 // Row numbers by page; the first group stays on the page that is split. Rows that have
 // no place in `most_pages` pages stay there too, and then it remains too large.
-using RowGroups = std::vector<std::vector<size_t>>;
+using RecordGroups = std::vector<std::vector<size_t>>;
 
-RowGroups PlanSplit(const std::vector<RowSize>& rows, const SplitLimits& limits);
+RecordGroups PlanPageSplit(const std::vector<RecordSize>& rows, const SplitLimits& limits);
 
 }  // namespace deckhall
--- a/src/wire/state_codec.cc
+++ b/src/wire/key_value_codec.cc
@@ -1,4 +1,4 @@
-#include "wire/state_codec.h"
+#include "wire/key_value_codec.h"
 
 namespace deckhall {
 namespace {
--- a/tests/cluster.cc
+++ b/tests/cluster.cc
@@ -89,21 +89,22 @@
 }
 
 // Requests to the state service travel, are refused, or carried out late.
-struct Cluster::StateLink : StatePort {
+struct Cluster::StateLink : KeyValueStore {
   Cluster* c;
   std::weak_ptr<Shell> self;
 
   // Carries out `act` at the service; the answer comes back unless something is in the way.
-  void Ask(double timeout, bool txn, const std::function<StateAnswer()>& act, const Done& done) {
+  void Ask(double timeout, bool txn, const std::function<KeyValueResponse()>& act,
+           const Done& done) {
     auto shell = self.lock();
-    auto answer = c->FirstAnswer(shell, timeout, StateAnswer(), done);
+    auto answer = c->FirstAnswer(shell, timeout, KeyValueResponse(), done);
     const bool late = txn && c->late_writes > 0 && c->Draw(c->late_writes);
     const bool unanswered = txn && c->lost_answers > 0 && c->Draw(c->lost_answers);
     Cluster* cluster = c;
     cluster->Carry(shell->name, "state", [cluster, shell, act, answer, late, unanswered] {
       if (cluster->StateRefuses(shell->name)) {
-        StateAnswer a;
-        a.outcome = StateOutcome::kRefused;
+        KeyValueResponse a;
+        a.status = KeyValueStatus::kUnavailable;
         cluster->Carry("state", shell->name, [answer, a] { answer(a); });
         return;
       }
@@ -112,7 +113,7 @@
                        [act] { act(); });
         return;
       }
-      const StateAnswer a = act();
+      const KeyValueResponse a = act();
       if (unanswered) return;
       cluster->After(cluster->slow_state_s, [cluster, shell, answer, a] {
         cluster->Carry("state", shell->name, [answer, a] { answer(a); });
@@ -121,11 +122,11 @@
   }
   // The store answers at once into its own queue.
   template <class Call>
-  std::function<StateAnswer()> Act(Call call) {
+  std::function<KeyValueResponse()> Act(Call call) {
     return [c = c, call] {
       c->ExpireLeases();
-      StateAnswer out;
-      call(&c->store_, [&out](const StateAnswer& a) { out = a; });
+      KeyValueResponse out;
+      call(&c->store_, [&out](const KeyValueResponse& a) { out = a; });
       c->store_.Run();
       c->FireWatches();
       return out;
@@ -141,34 +142,34 @@
     Ask(kStateTimeout, false,
         Act([prefix, after](FakeState* s, const Done& d) { s->List(prefix, after, d); }), done);
   }
-  void Grant(int ttl_ms, Done done) override {
-    auto act = Act([ttl_ms](FakeState* s, const Done& d) { s->Grant(ttl_ms, d); });
+  void GrantLease(int ttl_ms, Done done) override {
+    auto act = Act([ttl_ms](FakeState* s, const Done& d) { s->GrantLease(ttl_ms, d); });
     Ask(
         kStateTimeout, false,
         [c = c, act, ttl_ms] {
-          StateAnswer a = act();
+          KeyValueResponse a = act();
           c->lease_ttl_[a.number] = ttl_ms / 1000.0;
           c->lease_until_[a.number] = c->clock_.now + ttl_ms / 1000.0;
           return a;
         },
         done);
   }
-  void Extend(uint64_t lease, double timeout_s, Done done) override {
-    auto act = Act([lease](FakeState* s, const Done& d) { s->Extend(lease, 0, d); });
+  void KeepAliveLease(uint64_t lease, double timeout_s, Done done) override {
+    auto act = Act([lease](FakeState* s, const Done& d) { s->KeepAliveLease(lease, 0, d); });
     Ask(
         timeout_s, false,
         [c = c, act, lease] {
-          StateAnswer a = act();
-          if (a.outcome == StateOutcome::kOk) {
+          KeyValueResponse a = act();
+          if (a.status == KeyValueStatus::kOk) {
             c->lease_until_[lease] = c->clock_.now + c->lease_ttl_[lease];
           }
           return a;
         },
         done);
   }
-  void Drop(uint64_t lease, Done done) override {
-    Ask(kStateTimeout, false, Act([lease](FakeState* s, const Done& d) { s->Drop(lease, d); }),
-        done);
+  void RevokeLease(uint64_t lease, Done done) override {
+    Ask(kStateTimeout, false,
+        Act([lease](FakeState* s, const Done& d) { s->RevokeLease(lease, d); }), done);
   }
   void Watch(const std::string&, uint64_t after, int hold_ms, Done done) override {
     auto shell = self.lock();
@@ -177,7 +178,7 @@
       c->FireWatches();
     });
   }
-  double WriteRoom() override { return 100; }
+  double AvailableWriteTokens() override { return 100; }
 };
 
 struct Cluster::CloudLink : CloudPort {
@@ -505,8 +506,8 @@
       watching_.push_back(std::move(w));
       continue;
     }
-    StateAnswer a;
-    a.outcome = StateOutcome::kOk;
+    KeyValueResponse a;
+    a.status = KeyValueStatus::kOk;
     a.number = store_.revision;
     Carry("state", shell->name,
           [this, shell, done = w.done, a] { OnNode(shell, [done, a] { done(a); }); });
--- a/tests/cluster.h
+++ b/tests/cluster.h
@@ -208,7 +208,7 @@
     std::weak_ptr<Shell> shell;
     uint64_t after;
     double until;
-    StatePort::Done done;
+    KeyValueStore::Done done;
   };
   std::vector<Watching> watching_;
   std::map<std::string, JobSpec> specs_;
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -141,7 +141,7 @@
   EXPECT_EQ(known, 50U);
   // Without the key every earlier term is over: none is above the revision.
   w.state.EndLease(5);
-  for (auto& done : std::exchange(w.state.watches, {})) done(StateAnswer());
+  for (auto& done : std::exchange(w.state.watches, {})) done(KeyValueResponse());
   w.Pass(1);
   EXPECT_EQ(known, w.state.revision - 1);  // as it was before our own claim
 }
@@ -174,20 +174,20 @@
   FakeClock clock;
   FakeState state;
   state.keys["leader"] = {"{}", 1, 0};
-  RowStore store(&state, &clock, StoreLimits(), "leader", 1);
-  const RowId first = store.Add("{\"a\":1}", 20, WriteUrgency::kNow);
+  RecordStore store(&state, &clock, RecordStoreLimits(), "leader", 1);
+  const RecordId first = store.Add("{\"a\":1}", 20, WritePriority::kImmediate);
   store.Flush();  // its answer waits in the queue
-  const RowId second = store.Add("{\"b\":2}", 20, WriteUrgency::kNow);
+  const RecordId second = store.Add("{\"b\":2}", 20, WritePriority::kImmediate);
   store.Flush();
   ASSERT_EQ(state.committed.size(), 2U);
-  EXPECT_FALSE(store.Durable(first));
+  EXPECT_FALSE(store.IsDurable(first));
   // The same row again while it is on its way: that waits for the answer.
-  store.Set(first, "{\"a\":3}", 20, WriteUrgency::kNow);
+  store.Update(first, "{\"a\":3}", 20, WritePriority::kImmediate);
   store.Flush();
   EXPECT_EQ(state.committed.size(), 2U);
   state.Run();
-  EXPECT_TRUE(store.Durable(first));
-  EXPECT_TRUE(store.Durable(second));
+  EXPECT_TRUE(store.IsDurable(first));
+  EXPECT_TRUE(store.IsDurable(second));
   EXPECT_EQ(state.committed.size(), 3U);
 }
 
@@ -197,61 +197,62 @@
   FakeClock clock;
   FakeState state;
   state.keys["leader"] = {"{}", 1, 0};
-  StoreLimits limits;
-  limits.value_bytes = 60;  // one row a page
-  RowStore store(&state, &clock, limits, "leader", 1);
+  RecordStoreLimits limits;
+  limits.fill_bytes = 60;  // one row a page
+  RecordStore store(&state, &clock, limits, "leader", 1);
   state.write_room = 100;
-  std::vector<RowId> rows;
+  std::vector<RecordId> rows;
   rows.reserve(4);
   for (int i = 0; i < 4; ++i) {
-    rows.push_back(store.Add(std::string(40, static_cast<char>('1' + i)), 45, WriteUrgency::kNow));
+    rows.push_back(
+        store.Add(std::string(40, static_cast<char>('1' + i)), 45, WritePriority::kImmediate));
   }
   store.Flush();
   state.Run();
   state.committed.clear();
   char text = 'a';
-  const auto change = [&](size_t row, WriteUrgency urgency) {
-    store.Set(rows[row], std::string(40, text++), 45, urgency);
+  const auto change = [&](size_t row, WritePriority urgency) {
+    store.Update(rows[row], std::string(40, text++), 45, urgency);
   };
   // The budget is nearly used up: only what somebody waits for is sent.
   state.write_room = 1.5;
-  change(0, WriteUrgency::kLazy);
-  change(1, WriteUrgency::kSoon);
-  change(2, WriteUrgency::kNow);
+  change(0, WritePriority::kBackground);
+  change(1, WritePriority::kDeferred);
+  change(2, WritePriority::kImmediate);
   store.Flush();
   state.Run();
-  EXPECT_TRUE(store.Durable(rows[2]));
-  EXPECT_FALSE(store.Durable(rows[1]));
-  clock.now += 1.01 * limits.lazy_s;
-  change(3, WriteUrgency::kNow);
+  EXPECT_TRUE(store.IsDurable(rows[2]));
+  EXPECT_FALSE(store.IsDurable(rows[1]));
+  clock.now += 1.01 * limits.background_delay_s;
+  change(3, WritePriority::kImmediate);
   store.Flush();
   state.Run();
-  EXPECT_TRUE(store.Durable(rows[3]));
-  EXPECT_FALSE(store.Durable(rows[1]));
+  EXPECT_TRUE(store.IsDurable(rows[3]));
+  EXPECT_FALSE(store.IsDurable(rows[1]));
   // With some budget the end goes, with enough the rest.
   state.write_room = 3;
   store.Flush();
   state.Run();
-  EXPECT_TRUE(store.Durable(rows[1]));
-  EXPECT_FALSE(store.Durable(rows[0]));
+  EXPECT_TRUE(store.IsDurable(rows[1]));
+  EXPECT_FALSE(store.IsDurable(rows[0]));
   state.write_room = 100;
   store.Flush();
   state.Run();
-  EXPECT_TRUE(store.Durable(rows[0]));
+  EXPECT_TRUE(store.IsDurable(rows[0]));
   // A steady flow of urgent writes holds up neither for ever.
   state.write_room = 1;
-  change(1, WriteUrgency::kSoon);
-  change(0, WriteUrgency::kLazy);
+  change(1, WritePriority::kDeferred);
+  change(0, WritePriority::kBackground);
   clock.now += 2;
   store.Flush();
   state.Run();
-  EXPECT_TRUE(store.Durable(rows[1]));
-  EXPECT_FALSE(store.Durable(rows[0]));
+  EXPECT_TRUE(store.IsDurable(rows[1]));
+  EXPECT_FALSE(store.IsDurable(rows[0]));
   state.write_room = 3;
   clock.now += 5;
   store.Flush();
   state.Run();
-  EXPECT_TRUE(store.Durable(rows[0]));
+  EXPECT_TRUE(store.IsDurable(rows[0]));
 }
 
 // Found by drawn meetings of troubles: a page whose transaction was never carried out is
@@ -263,15 +264,15 @@
   state.keys["leader"] = {"{}", 1, 0};
   state.keys["deckhall/pages/000000"] = {R"([{"a":1}])", 2, 0};
   state.keys["deckhall/pages/000002"] = {R"([{"a":2}])", 3, 0};
-  StoreLimits limits;
-  limits.value_bytes = 50;
-  RowStore store(&state, &clock, limits, "leader", 1);
+  RecordStoreLimits limits;
+  limits.fill_bytes = 50;
+  RecordStore store(&state, &clock, limits, "leader", 1);
   store.Load([](bool, const auto&) {});
   state.Run();
-  const RowId row = store.Add(std::string(40, '7'), 45, WriteUrgency::kNow);
+  const RecordId row = store.Add(std::string(40, '7'), 45, WritePriority::kImmediate);
   store.Flush();
   state.Run();
-  EXPECT_TRUE(store.Durable(row));
+  EXPECT_TRUE(store.IsDurable(row));
   EXPECT_EQ(state.keys["deckhall/pages/000002"].value, R"([{"a":2}])");
   EXPECT_EQ(state.keys.size(), 4U);  // the leader's and three pages
 }
--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -31,7 +31,7 @@
 
 // A small consistent store. What it does with requests can be scripted: refuse
 // them, or carry them out and lose the answer.
-struct FakeState : StatePort {
+struct FakeState : KeyValueStore {
   struct Entry {
     std::string value;
     uint64_t version;
@@ -62,17 +62,17 @@
       fn();
     }
   }
-  void Answer(Done done, StateAnswer answer) {
+  void Answer(Done done, KeyValueResponse answer) {
     queue.push_back([done = std::move(done), answer] { done(answer); });
   }
-  StateAnswer Apply(const Transaction& txn) {
-    StateAnswer a;
+  KeyValueResponse Apply(const Transaction& txn) {
+    KeyValueResponse a;
     if (txn.mutations.size() > ops_limit) {
       ++too_many_ops;
-      a.outcome = StateOutcome::kRejected;
+      a.status = KeyValueStatus::kInvalid;
       return a;
     }
-    a.outcome = StateOutcome::kConflict;
+    a.status = KeyValueStatus::kConflict;
     for (const auto& c : txn.preconditions) {
       auto it = keys.find(c.key);
       if ((it == keys.end() ? 0 : it->second.version) != c.version) return a;
@@ -81,7 +81,7 @@
       if (w.lease != 0 && !leases.contains(w.lease)) return a;
       if (w.value.size() > value_limit) {
         ++too_large;
-        a.outcome = StateOutcome::kRejected;
+        a.status = KeyValueStatus::kInvalid;
         return a;
       }
     }
@@ -94,7 +94,7 @@
       }
     }
     committed.push_back(txn);
-    a.outcome = StateOutcome::kOk;
+    a.status = KeyValueStatus::kOk;
     a.number = revision;
     return a;
   }
@@ -103,9 +103,9 @@
     for (const Transaction& t : std::exchange(late, {})) Apply(t);
   }
   void Commit(const Transaction& txn, Done done) override {
-    StateAnswer a;
+    KeyValueResponse a;
     if (refuse) {
-      a.outcome = StateOutcome::kRefused;
+      a.status = KeyValueStatus::kUnavailable;
     } else if (hold_commits > 0) {
       --hold_commits;
       late.push_back(txn);
@@ -113,47 +113,47 @@
       a = Apply(txn);
       if (lose_answers > 0) {
         --lose_answers;
-        a = StateAnswer();
+        a = KeyValueResponse();
       }
     }
     Answer(std::move(done), a);
   }
   void Get(const std::string& key, Done done) override {
-    StateAnswer a;
-    a.outcome = refuse ? StateOutcome::kRefused : StateOutcome::kOk;
+    KeyValueResponse a;
+    a.status = refuse ? KeyValueStatus::kUnavailable : KeyValueStatus::kOk;
     auto it = keys.find(key);
     if (it != keys.end()) {
       a.found = true;
-      a.rows.push_back({key, it->second.value, it->second.version});
+      a.entries.push_back({key, it->second.value, it->second.version});
     }
     a.number = revision;
     Answer(std::move(done), a);
   }
   void List(const std::string& prefix, const std::string& after, Done done) override {
-    StateAnswer a;
-    a.outcome = refuse ? StateOutcome::kRefused : StateOutcome::kOk;
-    if (fail_lists_after >= 0 && fail_lists_after-- == 0) a.outcome = StateOutcome::kRefused;
+    KeyValueResponse a;
+    a.status = refuse ? KeyValueStatus::kUnavailable : KeyValueStatus::kOk;
+    if (fail_lists_after >= 0 && fail_lists_after-- == 0) a.status = KeyValueStatus::kUnavailable;
     for (const auto& [key, e] : keys) {
       if (!key.starts_with(prefix) || key <= after) continue;
-      a.truncated = a.rows.size() >= list_page;
+      a.truncated = a.entries.size() >= list_page;
       if (a.truncated) break;
-      a.rows.push_back({key, e.value, e.version});
+      a.entries.push_back({key, e.value, e.version});
     }
     a.number = revision;
     Answer(std::move(done), a);
   }
-  void Grant(int, Done done) override {
-    StateAnswer a;
-    a.outcome = refuse ? StateOutcome::kRefused : StateOutcome::kOk;
+  void GrantLease(int, Done done) override {
+    KeyValueResponse a;
+    a.status = refuse ? KeyValueStatus::kUnavailable : KeyValueStatus::kOk;
     a.number = next_lease++;
     if (!refuse) leases[a.number] = true;
     Answer(std::move(done), a);
   }
-  void Extend(uint64_t lease, double, Done done) override {
-    StateAnswer a;
-    a.outcome = refuse                   ? StateOutcome::kRefused
-                : leases.contains(lease) ? StateOutcome::kOk
-                                         : StateOutcome::kConflict;
+  void KeepAliveLease(uint64_t lease, double, Done done) override {
+    KeyValueResponse a;
+    a.status = refuse                   ? KeyValueStatus::kUnavailable
+               : leases.contains(lease) ? KeyValueStatus::kOk
+                                        : KeyValueStatus::kConflict;
     Answer(std::move(done), a);
   }
   void EndLease(uint64_t lease) {
@@ -161,17 +161,17 @@
     std::erase_if(keys, [lease](const auto& e) { return e.second.lease == lease; });
     ++revision;
   }
-  void Drop(uint64_t lease, Done done) override {
+  void RevokeLease(uint64_t lease, Done done) override {
     EndLease(lease);
-    StateAnswer a;
-    a.outcome = StateOutcome::kOk;
+    KeyValueResponse a;
+    a.status = KeyValueStatus::kOk;
     Answer(std::move(done), a);
   }
   void Watch(const std::string&, uint64_t, int, Done done) override {
     watches.push_back(std::move(done));
   }
   std::vector<Done> watches;
-  double WriteRoom() override { return write_room; }
+  double AvailableWriteTokens() override { return write_room; }
 };
 
 struct FakeCloud : CloudPort {
--- a/tests/golden_rows_test.cc
+++ b/tests/golden_rows_test.cc
@@ -48,7 +48,7 @@
 Rows RecordedRows() {
   Rows all;
   for (const auto& [key, rows] : Recorded()) {
-    if (key.starts_with(RowStore::kPrefix)) all.insert(all.end(), rows.begin(), rows.end());
+    if (key.starts_with(RecordStore::kPrefix)) all.insert(all.end(), rows.begin(), rows.end());
   }
   return all;
 }
@@ -85,7 +85,8 @@
 struct Successor : World {
   Successor() {
     for (const auto& [key, rows] : Recorded()) {
-      if (key.starts_with(RowStore::kPrefix)) state.keys[key] = {PageOf(rows), state.revision, 0};
+      if (key.starts_with(RecordStore::kPrefix))
+        state.keys[key] = {PageOf(rows), state.revision, 0};
     }
     for (const char* endpoint : {"m-1:1", "m-2:1", "m-3:1"}) workers.at[endpoint].silent = true;
     cloud.out = true;
@@ -93,18 +94,18 @@
     Lead();
   }
   const Job& Known(const std::string& id) {
-    const JobIdx index = leader->book().Find(id);
-    EXPECT_NE(index, kNone) << id;
+    const JobIndex index = leader->book().Find(id);
+    EXPECT_NE(index, kNoIndex) << id;
     return leader->book()[index];
   }
   const deckhall::Machine& KnownMachine(const std::string& name) {
-    const MachIdx index = leader->fleet().Find(name);
-    EXPECT_NE(index, kNone) << name;
+    const MachineIndex index = leader->fleet().Find(name);
+    EXPECT_NE(index, kNoIndex) << name;
     return leader->fleet()[index];
   }
   Rows ImagesOn(const std::string& name) {
     Rows images;
-    for (const uint32_t image : KnownMachine(name).images) {
+    for (const uint32_t image : KnownMachine(name).cached_images) {
       images.push_back(leader->book().images[image]);
     }
     return images;
@@ -196,7 +197,7 @@
 }
 
 TEST(GoldenRows, KeysHaveTheNamesTheyHaveInProduction) {
-  EXPECT_EQ(RowStore::kPrefix, "deckhall/pages/");
+  EXPECT_EQ(RecordStore::kPrefix, "deckhall/pages/");
   EXPECT_STREQ(Election::kKey, "deckhall/leader");
   EXPECT_STREQ(PolicyReplicator::kKey, "deckhall/disruption");
   EXPECT_TRUE(Recorded().contains(Election::kKey));
@@ -205,13 +206,13 @@
 
 TEST(GoldenRows, ASuccessorKnowsEveryLiveJobOfProductionInFull) {
   Successor w;
-  EXPECT_EQ(w.leader->book().live().size(), 7U);
+  EXPECT_EQ(w.leader->book().active_jobs().size(), 7U);
   for (const JobSpec& spec : {ZoneService(), ArrayWithImage(), LargeArray(), ServiceApart(), Gang(),
                               IdleOnSpot(), ProductionArray()}) {
     SCOPED_TRACE(spec.id);
     const Job& job = w.Known(spec.id);
-    EXPECT_EQ(job.life, JobLife::kLive);
-    EXPECT_TRUE(job.full);
+    EXPECT_EQ(job.lifecycle, JobLifecycle::kActive);
+    EXPECT_TRUE(job.has_spec);
     EXPECT_TRUE(job.acknowledged);
     ExpectSameJob(job.spec, spec);
   }
@@ -236,17 +237,17 @@
   Successor w;
   EXPECT_EQ(w.Known("job-10").submitted_wall, 500001206.2);
   EXPECT_EQ(w.Known("job-11").submitted_wall, 500001209.2);
-  EXPECT_EQ(w.Known("job-16").saved_left, 17.438);
+  EXPECT_EQ(w.Known("job-16").stored_remaining_core_seconds, 17.438);
 }
 
 TEST(GoldenRows, ASuccessorKnowsHowJobsEnded) {
   Successor w;
-  EXPECT_EQ(w.Known("job-1").life, JobLife::kDone);
-  EXPECT_EQ(w.Known("job-2").life, JobLife::kCancelled);
-  EXPECT_FALSE(w.Known("job-1").full);
-  EXPECT_FALSE(w.Known("job-2").full);
-  EXPECT_EQ(w.Known("job-16").life, JobLife::kDone);
-  EXPECT_EQ(w.Known("job-17").life, JobLife::kCancelled);
+  EXPECT_EQ(w.Known("job-1").lifecycle, JobLifecycle::kDone);
+  EXPECT_EQ(w.Known("job-2").lifecycle, JobLifecycle::kCancelled);
+  EXPECT_FALSE(w.Known("job-1").has_spec);
+  EXPECT_FALSE(w.Known("job-2").has_spec);
+  EXPECT_EQ(w.Known("job-16").lifecycle, JobLifecycle::kDone);
+  EXPECT_EQ(w.Known("job-17").lifecycle, JobLifecycle::kCancelled);
   ExpectSameJob(w.Known("job-16").spec, ArraySpec("job-16", 2, 0.5));
   ExpectSameJob(w.Known("job-17").spec, ServiceSpec("job-17", 2, 0.5));
   EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").state, JobState::kDone);
@@ -279,9 +280,9 @@
     EXPECT_EQ(w.leader->book().types[machine.type], "box");
     EXPECT_EQ(w.leader->book().zones[machine.zone], expected.zone);
     EXPECT_EQ(machine.spot, expected.spot);
-    EXPECT_EQ(machine.rented_wall, expected.rented_wall);
-    EXPECT_EQ(machine.unanswered_since, expected.unanswered_since);
-    EXPECT_EQ(machine.may_hold, !expected.endpoint.empty());
+    EXPECT_EQ(machine.provisioned_at_wall, expected.rented_wall);
+    EXPECT_EQ(machine.unrenewed_since_wall, expected.unanswered_since);
+    EXPECT_EQ(machine.may_run_former_attempts, !expected.endpoint.empty());
   }
 }
 
@@ -304,8 +305,8 @@
   FakeClock clock;
   FakeState state;
   FakeCloud cloud;
-  RowStore store;
-  JobBook book;
+  RecordStore store;
+  JobStore book;
   Fleet fleet;
   Rentals rentals;
   CacheHints hints;
@@ -320,16 +321,16 @@
     state.keys[kLeaderKey] = {"{}", kRecordedTerm, 0};
     clock.now = kAfterRecording;
   }
-  static StoreLimits OnePage() {
-    StoreLimits limits;
-    limits.most_bytes = limits.value_bytes = limits.present_bytes = kRoomForAll;
+  static RecordStoreLimits OnePage() {
+    RecordStoreLimits limits;
+    limits.max_value_bytes = limits.fill_bytes = limits.current_max_value_bytes = kRoomForAll;
     return limits;
   }
   void Read(const Rows& rows) {
     for (const std::string& text : rows) {
-      const RowId row = store.Add(kNotWritten, kRowReserve, WriteUrgency::kLazy);
+      const RecordId row = store.Add(kNotWritten, kRowReserve, WritePriority::kBackground);
       const bool read =
-          rentals.LoadRow(row, text) || hints.LoadRow(row, text) || book.LoadRow(row, text);
+          rentals.LoadRow(row, text) || hints.LoadRow(row, text) || book.LoadRecord(row, text);
       EXPECT_TRUE(read) << text;
     }
     book.FinishLoad(clock.Now(), clock.Wall());
@@ -346,20 +347,21 @@
     return state.keys[kFirstPage].value;
   }
   void SaveJob(const std::string& id) {
-    const JobIdx index = book.Find(id);
+    const JobIndex index = book.Find(id);
     Job& job = book[index];
-    job.left = job.saved_left;  // as a leader that took over does
-    book.Save(index, WriteUrgency::kNow);
+    job.remaining_core_seconds =
+        job.stored_remaining_core_seconds;  // as a leader that took over does
+    book.Save(index, WritePriority::kImmediate);
   }
   // Writes the row that has the task among its finished ones.
   void SaveFinishedTask(const std::string& id, uint32_t task) {
-    const JobIdx index = book.Find(id);
+    const JobIndex index = book.Find(id);
     Job& job = book[index];
     ASSERT_EQ(job.tasks[task].phase, TaskPhase::kDone);
-    job.tasks[task].phase = TaskPhase::kUnseen;
-    --job.done;
-    ++job.unseen;
-    book.Done(index, task);
+    job.tasks[task].phase = TaskPhase::kUnreconciled;
+    --job.tasks_done;
+    ++job.tasks_unreconciled;
+    book.MarkTaskDone(index, task);
   }
 };
 
@@ -379,8 +381,8 @@
   const Rows rows = RowsThat(IsMachine);
   Books books;
   books.Read(rows);
-  for (MachIdx machine = 0; machine < books.fleet.size(); ++machine) {
-    books.rentals.SaveMachine(machine, WriteUrgency::kNow);
+  for (MachineIndex machine = 0; machine < books.fleet.size(); ++machine) {
+    books.rentals.SaveMachine(machine, WritePriority::kImmediate);
   }
   EXPECT_EQ(books.Page(), PageOf(rows));
 }
--- a/tests/golden_wire_test.cc
+++ b/tests/golden_wire_test.cc
@@ -6,8 +6,8 @@
 #include "golden_support.h"
 #include "wire/cloud_codec.h"
 #include "wire/job_codec.h"
+#include "wire/key_value_codec.h"
 #include "wire/mesh_codec.h"
-#include "wire/state_codec.h"
 #include "wire/worker_codec.h"
 
 namespace deckhall {
--- a/tests/placer_test.cc
+++ b/tests/placer_test.cc
@@ -221,9 +221,9 @@
   w.cloud.listed = {row};
   w.Lead();
   w.Pass(w.settings.cloud_lag_s * 2);
-  EXPECT_EQ(w.leader->fleet().Find("m-7"), kNone);
+  EXPECT_EQ(w.leader->fleet().Find("m-7"), kNoIndex);
   w.Pass(w.settings.cloud_lag_s + 10);
-  EXPECT_NE(w.leader->fleet().Find("m-7"), kNone);
+  EXPECT_NE(w.leader->fleet().Find("m-7"), kNoIndex);
 }
 
 TEST(Rentals, AnIdleMachineGoesBackUnlessReplicasMayNeedIt) {
--- a/tests/state_limits_test.cc
+++ b/tests/state_limits_test.cc
@@ -21,22 +21,22 @@
 struct LargePage {
   FakeClock clock;
   FakeState state;
-  StoreLimits limits;
-  std::vector<std::unique_ptr<RowStore>> stores;  // answers to former ones may still come
+  RecordStoreLimits limits;
+  std::vector<std::unique_ptr<RecordStore>> stores;  // answers to former ones may still come
 
   LargePage() {
     state.keys["leader"] = {"{}", 1, 0};
     std::string page = "[";
     for (size_t i = 0; i < kRows; ++i) page += (i == 0 ? "" : ",") + RowText(i);
     state.keys["deckhall/pages/000000"] = {page + "]", 2, 0};
-    limits.most_bytes = kSmallValue;
-    limits.value_bytes = kSmallValue * 85 / 100;
-    limits.present_bytes = 8 << 10;
-    limits.txn_ops = 4;
+    limits.max_value_bytes = kSmallValue;
+    limits.fill_bytes = kSmallValue * 85 / 100;
+    limits.current_max_value_bytes = 8 << 10;
+    limits.max_transaction_ops = 4;
   }
-  RowStore& Load() {
+  RecordStore& Load() {
     if (!stores.empty()) stores.back()->Stop();
-    stores.push_back(std::make_unique<RowStore>(&state, &clock, limits, "leader", 1));
+    stores.push_back(std::make_unique<RecordStore>(&state, &clock, limits, "leader", 1));
     stores.back()->Load([](bool ok, const auto&) { EXPECT_TRUE(ok); });
     state.Run();
     stores.back()->SplitLargePages();
@@ -78,7 +78,7 @@
   EXPECT_TRUE(w.EachOnce());
   EXPECT_LE(w.Largest(), kSmallValue);
   for (const Transaction& txn : w.state.committed)
-    EXPECT_LE(txn.mutations.size(), w.limits.txn_ops);
+    EXPECT_LE(txn.mutations.size(), w.limits.max_transaction_ops);
 }
 
 // A leader may end at any moment; the next one reads the same pages, of whatever version it is.
@@ -102,18 +102,18 @@
 TEST(StateLimits, ASplitWhoseAnswerIsLostIsNotCarriedOutTwice) {
   for (const bool late : {false, true}) {
     LargePage w;
-    RowStore& store = w.Load();
+    RecordStore& store = w.Load();
     (late ? w.state.hold_commits : w.state.lose_answers) = 1;
     w.Pass(0.1);
     // A row of a page whose split is not confirmed changes.
     const std::string changed = "{\"row\":129,\"text\":\"new\"}";
-    store.Set(kRows - 1, changed, changed.size(), WriteUrgency::kNow);
+    store.Update(kRows - 1, changed, changed.size(), WritePriority::kImmediate);
     w.Pass(0.3);
     if (late) w.state.Late();
     w.Pass(10);
     EXPECT_TRUE(w.EachOnce());
     EXPECT_LE(w.Largest(), kSmallValue);
-    EXPECT_TRUE(store.Durable(kRows - 1));
+    EXPECT_TRUE(store.IsDurable(kRows - 1));
     const bool stored = std::any_of(w.state.keys.begin(), w.state.keys.end(), [&](const auto& e) {
       return e.second.value.find(changed) != std::string::npos;
     });
@@ -123,28 +123,28 @@
 
 TEST(StateLimits, WhatChangesWhileASplitIsOnItsWayIsWrittenAfterIt) {
   LargePage w;
-  RowStore& store = w.Load();
+  RecordStore& store = w.Load();
   w.clock.now += 1;
   store.Flush();
   ASSERT_EQ(w.state.committed.size(), 1U);
   const std::string changed = "{\"row\":129,\"text\":\"new\"}";
-  store.Set(kRows - 1, changed, changed.size(), WriteUrgency::kNow);
+  store.Update(kRows - 1, changed, changed.size(), WritePriority::kImmediate);
   w.state.Run();
   w.Pass(3);
-  EXPECT_TRUE(store.Durable(kRows - 1));
+  EXPECT_TRUE(store.IsDurable(kRows - 1));
   EXPECT_TRUE(w.EachOnce());
 }
 
 TEST(StateLimits, NoTransactionHasMoreOperationsThanAllowed) {
   LargePage w;
-  RowStore& store = w.Load();
+  RecordStore& store = w.Load();
   w.Pass(3);
   w.state.committed.clear();
-  for (int i = 0; i < 10; ++i) store.Add(R"({"row":1})", 800, WriteUrgency::kNow);
+  for (int i = 0; i < 10; ++i) store.Add(R"({"row":1})", 800, WritePriority::kImmediate);
   w.Pass(2);
   size_t writes = 0;
   for (const Transaction& txn : w.state.committed) {
-    EXPECT_LE(txn.mutations.size(), w.limits.txn_ops);
+    EXPECT_LE(txn.mutations.size(), w.limits.max_transaction_ops);
     writes += txn.mutations.size();
   }
   EXPECT_EQ(writes, 10U);
@@ -154,28 +154,28 @@
 // no budget for acceptances.
 TEST(StateLimits, LazyWritesLeaveRoomHoweverFewOperationsAreAllowed) {
   LargePage w;
-  RowStore& store = w.Load();
+  RecordStore& store = w.Load();
   w.Pass(3);
   w.state.write_room = 4;
-  const RowId lazy = store.Add(R"({"row":1})", 800, WriteUrgency::kLazy);
+  const RecordId lazy = store.Add(R"({"row":1})", 800, WritePriority::kBackground);
   w.Pass(2);
-  EXPECT_FALSE(store.Durable(lazy));
-  const RowId urgent = store.Add(R"({"row":2})", 800, WriteUrgency::kNow);
+  EXPECT_FALSE(store.IsDurable(lazy));
+  const RecordId urgent = store.Add(R"({"row":2})", 800, WritePriority::kImmediate);
   w.Pass(0.2);
-  EXPECT_TRUE(store.Durable(urgent));
+  EXPECT_TRUE(store.IsDurable(urgent));
   w.state.write_room = 6;
   w.Pass(2);
-  EXPECT_TRUE(store.Durable(lazy));
+  EXPECT_TRUE(store.IsDurable(lazy));
 }
 
 TEST(StateLimits, PagesThatAreLargeWhenTheLimitsComeAreSplitInOneTransaction) {
   LargePage w;
   w.state.value_limit = kSmallValue;
   w.state.ops_limit = 4;
-  RowStore& store = w.Load();
-  const RowId urgent = store.Add(R"({"row":1})", 20, WriteUrgency::kNow);
+  RecordStore& store = w.Load();
+  const RecordId urgent = store.Add(R"({"row":1})", 20, WritePriority::kImmediate);
   w.Pass(1);
-  EXPECT_TRUE(store.Durable(urgent));  // what fits goes on
+  EXPECT_TRUE(store.IsDurable(urgent));  // what fits goes on
   w.Pass(20);
   EXPECT_LE(w.Largest(), kSmallValue);
   EXPECT_EQ(w.Stored().size(), kRows + 1);
@@ -186,43 +186,44 @@
 TEST(StateLimits, LimitsThatNobodyAnnouncedAreLearntFromTheAnswers) {
   for (const size_t ops : {2UL, 3UL, 12UL}) {
     LargePage w;
-    w.limits = StoreLimits();
-    w.limits.lazy_s = 0.1;
-    RowStore& store = w.Load();
-    std::vector<RowId> rows;
+    w.limits = RecordStoreLimits();
+    w.limits.background_delay_s = 0.1;
+    RecordStore& store = w.Load();
+    std::vector<RecordId> rows;
     for (int i = 0; i < 8; ++i) {
-      rows.push_back(store.Add(RowText(200 + static_cast<size_t>(i)), 6000, WriteUrgency::kNow));
+      rows.push_back(
+          store.Add(RowText(200 + static_cast<size_t>(i)), 6000, WritePriority::kImmediate));
     }
     w.state.ops_limit = ops;
     w.state.value_limit = 5000;
     w.Pass(3);
-    for (const RowId row : rows) EXPECT_TRUE(store.Durable(row)) << ops;
+    for (const RecordId row : rows) EXPECT_TRUE(store.IsDurable(row)) << ops;
     EXPECT_LT(w.state.too_many_ops + w.state.too_large, 30) << ops;
   }
 }
 
 TEST(StateLimits, OnePageThatIsRejectedHoldsUpNoOther) {
   LargePage w;
-  w.limits = StoreLimits();
+  w.limits = RecordStoreLimits();
   w.state.value_limit = 2000;  // the page takes more, and the store does not know
-  RowStore& store = w.Load();
+  RecordStore& store = w.Load();
   const std::string changed = "{\"row\":100,\"text\":\"new\"}";
-  store.Set(0, changed, changed.size(), WriteUrgency::kNow);
-  const RowId other = store.Add(std::string(40, '7'), 7000, WriteUrgency::kNow);
+  store.Update(0, changed, changed.size(), WritePriority::kImmediate);
+  const RecordId other = store.Add(std::string(40, '7'), 7000, WritePriority::kImmediate);
   w.Pass(2);
-  EXPECT_TRUE(store.Durable(other));
+  EXPECT_TRUE(store.IsDurable(other));
   w.Pass(20);
-  EXPECT_TRUE(store.Durable(0));
+  EXPECT_TRUE(store.IsDurable(0));
   EXPECT_LE(w.Largest(), 2000U);
 }
 
 TEST(StateLimits, RowsThatFitNoPageTogetherStayOnTheOldOne) {
-  const std::vector<RowSize> rows(10, RowSize{400, 300});
-  const RowGroups groups = PlanSplit(rows, {1000, 1200, 2});
+  const std::vector<RecordSize> rows(10, RecordSize{400, 300});
+  const RecordGroups groups = PlanPageSplit(rows, {1000, 1200, 2});
   ASSERT_EQ(groups.size(), 2U);
   EXPECT_EQ(groups[0].size() + groups[1].size(), rows.size());
   EXPECT_LE(groups[1].size() * 300, 1200U);
-  EXPECT_EQ(PlanSplit(rows, {1000, 1200, 10}).size(), 5U);
+  EXPECT_EQ(PlanPageSplit(rows, {1000, 1200, 10}).size(), 5U);
 }
 
 // What the version before wrote: large pages with jobs, machines and hints of caches. Under
--- a/tests/trouble_test.cc
+++ b/tests/trouble_test.cc
@@ -315,9 +315,9 @@
   w.Settle();
   EXPECT_FALSE(w.cloud.rented.empty());
   w.Pass(20);
-  const MachIdx ghost = w.leader->fleet().Find("m-1");
-  ASSERT_NE(ghost, kNone);
-  EXPECT_TRUE(w.leader->fleet()[ghost].gone);
+  const MachineIndex ghost = w.leader->fleet().Find("m-1");
+  ASSERT_NE(ghost, kNoIndex);
+  EXPECT_TRUE(w.leader->fleet()[ghost].removed);
 }
 
 TEST(Anew, AWorkerThatCameBackAtOnceUnderItsNameIsUsedAgain) {
@@ -410,7 +410,7 @@
   w.state.fail_lists_after = 2;
   w.Lead();
   w.Pass(3);
-  EXPECT_EQ(w.leader->book().live().size(), 80U);
+  EXPECT_EQ(w.leader->book().active_jobs().size(), 80U);
   EXPECT_EQ(a.started.size(), 80U);
   EXPECT_EQ(w.Ask(JobOperation::kGet, "job-7").tasks_running, 1U);
 }
@@ -578,12 +578,12 @@
     }
     w.Pass(1);
   }
-  const JobIdx job = w.leader->book().Find("job-1");
-  ASSERT_GE(w.leader->book()[job].fail_streak, 3U);
+  const JobIndex job = w.leader->book().Find("job-1");
+  ASSERT_GE(w.leader->book()[job].consecutive_failures, 3U);
   w.Pass(15);  // sooner than the failures are forgotten
   EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").tasks_running, 2U);
   w.Pass(45);
-  EXPECT_EQ(w.leader->book()[job].fail_streak, 0U);
+  EXPECT_EQ(w.leader->book()[job].consecutive_failures, 0U);
 }
 
 }  // namespace
