--- a/src/api/front.cc
+++ b/src/api/http_api.cc
@@ -1,4 +1,4 @@
-#include "api/front.h"
+#include "api/http_api.h"
 
 #include <spdlog/spdlog.h>
 
@@ -26,14 +26,14 @@
 
 }  // namespace
 
-Front::Front(const Clock* clock, Backend backend)
+HttpApi::HttpApi(const Clock* clock, Backend backend)
     : clock_(clock),
       backend_(std::move(backend)),
       submit_ms_(boost::histogram::make_histogram(
           boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>(
               40, 0.5, 10000.0))) {}
 
-void Front::Handle(const HttpMessage& request, const HttpServer::Reply& reply) {
+void HttpApi::Handle(const HttpMessage& request, const HttpServer::Reply& reply) {
   const std::string path = request.target.substr(0, request.target.find('?'));
   if (path == "/up") {
     if (request.method != "GET") {
@@ -41,24 +41,24 @@
       return;
     }
     HttpAnswer a;
-    a.status = backend_.up() ? 200 : 503;
+    a.status = backend_.is_healthy() ? 200 : 503;
     a.body = a.status == 200 ? "{\"up\":true}" : "{\"up\":false}";
     reply(a);
   } else if (path == "/checkin") {
     if (request.method != "POST") {
       reply(WrongMethod("POST"));
     } else {
-      CheckIn(request, reply);
+      HandleHeartbeat(request, reply);
     }
   } else if (path == kJobsPath || (path.starts_with(kJobsPath) && path[kJobsPath.size()] == '/')) {
-    Jobs(request, path, reply);
+    HandleJobs(request, path, reply);
   } else {
     reply(Error(404, "no such path"));
   }
 }
 
-void Front::Jobs(const HttpMessage& request, const std::string& path,
-                 const HttpServer::Reply& reply) {
+void HttpApi::HandleJobs(const HttpMessage& request, const std::string& path,
+                         const HttpServer::Reply& reply) {
   JobRequest ask;
   if (path == kJobsPath) {
     if (request.method != "POST") {
@@ -72,7 +72,7 @@
       reply(Error(400, ask.validation_error.c_str()));
       return;
     }
-    Ask(std::move(ask), reply);
+    ForwardJobRequest(std::move(ask), reply);
     return;
   }
   ask.job_id = path.substr(kJobsPath.size() + 1);
@@ -95,15 +95,15 @@
     reply(Error(404, "no such job"));
     return;
   }
-  Ask(std::move(ask), reply);
+  ForwardJobRequest(std::move(ask), reply);
 }
 
-void Front::Ask(JobRequest ask, const HttpServer::Reply& reply) {
+void HttpApi::ForwardJobRequest(JobRequest ask, const HttpServer::Reply& reply) {
   const double began = clock_->Now();
   JobRequest head;
   head.operation = ask.operation;
   head.job_id = ask.job_id;
-  backend_.user(std::move(ask), [this, head, began, reply](const JobResponse& r) {
+  backend_.handle_job_request(std::move(ask), [this, head, began, reply](const JobResponse& r) {
     HttpAnswer a;
     a.status = r.status;
     a.retry_after_s = r.retry_after_s;
@@ -117,14 +117,14 @@
   });
 }
 
-void Front::CheckIn(const HttpMessage& request, const HttpServer::Reply& reply) {
+void HttpApi::HandleHeartbeat(const HttpMessage& request, const HttpServer::Reply& reply) {
   Heartbeat report;
   if (!DecodeHeartbeat(request.body, &report)) {
     spdlog::warn("a report is malformed");
     reply(Error(400, "malformed report"));
     return;
   }
-  backend_.report(std::move(report), [reply](const HeartbeatResponse& r) {
+  backend_.handle_heartbeat(std::move(report), [reply](const HeartbeatResponse& r) {
     HttpAnswer a;
     a.status = r.status;
     a.body = EncodeHeartbeatResponse(r);
@@ -132,7 +132,7 @@
   });
 }
 
-void Front::LogLatency() {
+void HttpApi::LogSubmitLatency() {
   if (submits_ == 0) return;
   const double total = static_cast<double>(submits_);
   double below = 0;
--- a/src/api/front.h
+++ b/src/api/http_api.h
@@ -11,26 +11,27 @@
 
 namespace deckhall {
 
-class Front {
+class HttpApi {
  public:
-  using UserDone = std::function<void(JobResponse)>;
-  using ReportDone = std::function<void(HeartbeatResponse)>;
+  using JobResponseCallback = std::function<void(JobResponse)>;
+  using HeartbeatResponseCallback = std::function<void(HeartbeatResponse)>;
   struct Backend {
-    std::function<void(JobRequest, UserDone)> user;
-    std::function<void(Heartbeat, ReportDone)> report;
-    std::function<bool()> up;
+    std::function<void(JobRequest, JobResponseCallback)> handle_job_request;
+    std::function<void(Heartbeat, HeartbeatResponseCallback)> handle_heartbeat;
+    std::function<bool()> is_healthy;
   };
 
-  Front(const Clock* clock, Backend backend);
+  HttpApi(const Clock* clock, Backend backend);
 
   void Handle(const HttpMessage& request, const HttpServer::Reply& reply);
   // Writes how long submissions took since the last call.
-  void LogLatency();
+  void LogSubmitLatency();
 
  private:
-  void Jobs(const HttpMessage& request, const std::string& path, const HttpServer::Reply& reply);
-  void Ask(JobRequest ask, const HttpServer::Reply& reply);
-  void CheckIn(const HttpMessage& request, const HttpServer::Reply& reply);
+  void HandleJobs(const HttpMessage& request, const std::string& path,
+                  const HttpServer::Reply& reply);
+  void ForwardJobRequest(JobRequest ask, const HttpServer::Reply& reply);
+  void HandleHeartbeat(const HttpMessage& request, const HttpServer::Reply& reply);
 
   const Clock* clock_;
   Backend backend_;
--- a/src/app/controller.cc
+++ b/src/app/controller.cc
@@ -7,26 +7,26 @@
 namespace deckhall {
 namespace {
 
-constexpr double kRelayTimeout = 1.5;
-constexpr double kSubmitRelayTimeout = 3.0;
-constexpr double kReportRelayTimeout = 2.0;
+constexpr double kStatusForwardTimeoutSeconds = 1.5;
+constexpr double kSubmitForwardTimeoutSeconds = 3.0;
+constexpr double kHeartbeatForwardTimeoutSeconds = 2.0;
 // Status requests for each message to a worker that the processor allows for. Set by
 // trial, see docs/results.md: what the processor can take is not refused.
 constexpr double kStatusRequestsPerMessage = 1.5;
-constexpr double kRefusalLogEvery = 60;  // seconds
-constexpr int kStatusRetryAfter = 2;     // seconds
-constexpr double kRetiredFor = 15;       // longer than any request of a leader lasts
+constexpr double kRefusalLogIntervalSeconds = 60;  // seconds
+constexpr int kStatusRetryAfterSeconds = 2;        // seconds
+constexpr double kRetiredLeaderSeconds = 15;       // longer than any request of a leader lasts
 // A leader that can't reach most workers for so long lets another one lead, and
 // runs again only after a while.
-constexpr double kUnreachedFor = 2;
-constexpr double kStepAside = 20;
+constexpr double kUnreachableLeaderSeconds = 2;
+constexpr double kResignPauseSeconds = 20;
 
-ElectionOptions ElectionOf(const Settings& s, const Tuning& t, uint64_t instance) {
+ElectionOptions ElectionOptionsFrom(const Settings& s, const Tuning& t, uint64_t instance) {
   ElectionOptions o;
   o.label = s.label;
   o.instance = instance;
-  o.ttl_ms = static_cast<int>(t.lease_ms);
-  o.renew_s = t.renew_ms / 1000;
+  o.lease_ttl_ms = static_cast<int>(t.lease_ms);
+  o.keep_alive_interval_s = t.keep_alive_ms / 1000;
   return o;
 }
 
@@ -42,23 +42,26 @@
     : ports_(ports),
       settings_(std::move(settings)),
       tuning_(tuning),
-      election_(ports.state, ports.clock, ElectionOf(settings_, tuning_, instance)),
-      mesh_(ports.links, ports.clock, settings_.label, instance, settings_.siblings,
-            MostRelayed(settings_),
-            [this](Mesh::Body body, const Mesh::Reply& reply) { Served(std::move(body), reply); }),
+      election_(ports.key_value_store, ports.clock,
+                ElectionOptionsFrom(settings_, tuning_, instance)),
+      mesh_(ports.peer_transport, ports.clock, settings_.label, instance, settings_.siblings,
+            MaxForwardedRequests(settings_),
+            [this](Mesh::Body body, const Mesh::ResponseCallback& reply) {
+              HandlePeerRequest(std::move(body), reply);
+            }),
       health_(settings_.label),
-      relay_(&mesh_, ports.clock,
-             [this](const JobRequest& request, const UserDone& done) {
-               return ServeHere(request, done);
-             }),
-      policy_(ports.state, ports.clock, &settings_),
-      status_budget_(StatusRequestsPerSecond(settings_, tuning_)) {
-  election_.on_won = [this](uint64_t term) { Won(term); };
-  election_.on_lost = [this] { Lost(); };
-  election_.on_known = [this](uint64_t bound) { mesh_.NoteTerm(bound); };
+      forwarder_(&mesh_, ports.clock,
+                 [this](const JobRequest& request, const JobResponseCallback& done) {
+                   return ServeHere(request, done);
+                 }),
+      policy_replicator_(ports.key_value_store, ports.clock, &settings_),
+      status_rate_limiter_(StatusRequestsPerSecond(settings_, tuning_)) {
+  election_.on_elected = [this](uint64_t term) { StartLeading(term); };
+  election_.on_leadership_lost = [this] { StopLeading(); };
+  election_.on_term_bound = [this](uint64_t bound) { mesh_.ConfirmTerm(bound); };
   mesh_.on_higher_term = [this](uint64_t term) {
-    if (election_.holding() && term > election_.term()) {
-      election_.Abdicate("a peer knows of a higher term");
+    if (election_.HoldsKey() && term > election_.term()) {
+      election_.LoseLeadership("a peer knows of a higher term");
     }
   };
 }
@@ -70,77 +73,81 @@
   election_.Tick();
   mesh_.Tick();
   const bool holding = leader_ && leader_->loaded();
-  mesh_.SetLeading(holding && election_.Trusted(), holding, election_.term());
-  policy_.Tick();
+  mesh_.SetLeadership(holding && election_.IsLeaseValid(), holding, election_.term());
+  policy_replicator_.Tick();
   if (leader_) {
-    leader_->Use(policy_.in_force(), policy_.Confirmed(won_at_));
+    leader_->ApplyDisruptionPolicy(policy_replicator_.in_force(),
+                                   policy_replicator_.Confirmed(elected_at_));
     leader_->Tick();
   }
-  relay_.Tick();
-  if (leader_ && leader_->UnreachedFor() > kUnreachedFor && mesh_.Silence() < kUnreachedFor / 2) {
-    election_.StepDown("most workers can't be reached from here", kStepAside);
+  forwarder_.Tick();
+  if (leader_ && leader_->UnreachableSeconds() > kUnreachableLeaderSeconds &&
+      mesh_.SecondsSincePeerHeard() < kUnreachableLeaderSeconds / 2) {
+    election_.Resign("most workers can't be reached from here", kResignPauseSeconds);
   }
-  std::erase_if(retired_, [now](const Retired& r) { return now - r.since > kRetiredFor; });
-  health_.Note(now, mesh_.Leader(), election_.Trusted(), mesh_.Silence());
+  std::erase_if(retired_leaders_, [now](const RetiredLeader& r) {
+    return now - r.retired_at > kRetiredLeaderSeconds;
+  });
+  health_.Update(now, mesh_.Leader(), election_.IsLeaseValid(), mesh_.SecondsSincePeerHeard());
 }
 
-void Controller::Won(uint64_t term) {
-  mesh_.NoteTerm(term);
+void Controller::StartLeading(uint64_t term) {
+  mesh_.ConfirmTerm(term);
   LeaderPorts ports;
-  ports.state = ports_.state;
+  ports.key_value_store = ports_.key_value_store;
   ports.cloud = ports_.cloud;
   ports.workers = ports_.workers;
   ports.clock = ports_.clock;
   ports.lease = this;
   ports.no_later_term_since = [this](uint64_t t) { return mesh_.NoLaterTermSince(t); };
-  ports.doubtful = [this](const std::string& zone) {
-    return zone != settings_.site && mesh_.Doubtful(zone);
+  ports.is_zone_suspected = [this](const std::string& zone) {
+    return zone != settings_.site && mesh_.IsSiteSuspected(zone);
   };
   for (const Peer& p : settings_.siblings) {
-    if (p.label == election_.former_label()) ports.former_leader_zone = p.site;
+    if (p.label == election_.former_leader_label()) ports.former_leader_zone = p.site;
   }
   leader_ = std::make_unique<Leader>(ports, &settings_, &tuning_, Election::kKey, term);
-  leader_->on_deposed = [this](const char* why) { election_.Abdicate(why); };
-  won_at_ = ports_.clock->Now();
+  leader_->on_leadership_lost = [this](const char* why) { election_.LoseLeadership(why); };
+  elected_at_ = ports_.clock->Now();
   // Another leader may have had a newer policy.
-  policy_.ReadSoon();
-  leader_->Begin();
+  policy_replicator_.ReadSoon();
+  leader_->Start();
 }
 
-void Controller::Lost() {
-  mesh_.SetLeading(false, false, 0);
+void Controller::StopLeading() {
+  mesh_.SetLeadership(false, false, 0);
   if (!leader_) return;
   leader_->Retire();
-  retired_.push_back({ports_.clock->Now(), std::move(leader_)});
+  retired_leaders_.push_back({ports_.clock->Now(), std::move(leader_)});
 }
 
 bool Controller::AdmitStatusRequest(const std::string& job) {
   const double now = ports_.clock->Now();
-  if (status_budget_.Admit(job, now)) return true;
-  if (!refusal_logged_at_ || now >= *refusal_logged_at_ + kRefusalLogEvery) {
+  if (status_rate_limiter_.Admit(job, now)) return true;
+  if (!refusal_logged_at_ || now >= *refusal_logged_at_ + kRefusalLogIntervalSeconds) {
     refusal_logged_at_ = now;
     spdlog::warn("more status requests than are taken: the rest gets 503");
   }
   return false;
 }
 
-bool Controller::ServeHere(const JobRequest& request, const UserDone& done) {
+bool Controller::ServeHere(const JobRequest& request, const JobResponseCallback& done) {
   if (!leader_ || !leader_->loaded()) return false;
-  leader_->User(request, done);
+  leader_->HandleJobRequest(request, done);
   on_work();
   return true;
 }
 
-void Controller::User(JobRequest request, UserDone done) {
+void Controller::HandleJobRequest(JobRequest request, JobResponseCallback done) {
   const bool status = request.operation == JobOperation::kGet;
   if (status && !AdmitStatusRequest(request.job_id)) {
-    done(UnavailableResponse("too many status requests at once", kStatusRetryAfter));
+    done(UnavailableResponse("too many status requests at once", kStatusRetryAfterSeconds));
     return;
   }
   auto answered = [this, job = request.job_id,
                    done = std::move(done)](const JobResponse& response) {
     if (response.status == 200 || response.status == 201 || response.status == 404) {
-      status_budget_.Answered(job, response.status != 404, ports_.clock->Now());
+      status_rate_limiter_.RecordAnswer(job, response.status != 404, ports_.clock->Now());
     }
     done(response);
   };
@@ -150,13 +157,14 @@
     answered(NoLeaderResponse());
     return;
   }
-  relay_.Send(std::move(request), status ? kRelayTimeout : kSubmitRelayTimeout,
-              std::move(answered));
+  forwarder_.Send(std::move(request),
+                  status ? kStatusForwardTimeoutSeconds : kSubmitForwardTimeoutSeconds,
+                  std::move(answered));
 }
 
-void Controller::CheckIn(Heartbeat report, ReportDone done) {
+void Controller::HandleHeartbeat(Heartbeat report, HeartbeatResponseCallback done) {
   if (leader_) {
-    done(leader_->OnReport(report));
+    done(leader_->HandleHeartbeat(report));
     on_work();
     return;
   }
@@ -166,20 +174,21 @@
     // The way between controllers is shut, but the state service knows who leads:
     // the worker may reach it.
     const std::string& known = election_.leader_label();
-    if (known != settings_.label && mesh_.Refuses(known)) {
+    if (known != settings_.label && mesh_.RefusesConnections(known)) {
       reply.status = 421;
       reply.redirect_to = known;
     }
     done(reply);
     return;
   }
-  mesh_.Ask(to, std::move(report), kReportRelayTimeout, [done = std::move(done)](Mesh::Body body) {
-    auto* reply = std::get_if<HeartbeatResponse>(&body);
-    done(reply == nullptr ? HeartbeatResponse() : *reply);
-  });
+  mesh_.Call(to, std::move(report), kHeartbeatForwardTimeoutSeconds,
+             [done = std::move(done)](Mesh::Body body) {
+               auto* reply = std::get_if<HeartbeatResponse>(&body);
+               done(reply == nullptr ? HeartbeatResponse() : *reply);
+             });
 }
 
-void Controller::Served(Mesh::Body body, const Mesh::Reply& reply) {
+void Controller::HandlePeerRequest(Mesh::Body body, const Mesh::ResponseCallback& reply) {
   if (auto* ask = std::get_if<JobRequest>(&body)) {
     if (!ServeHere(*ask, [reply](const JobResponse& r) { reply(r); })) reply(NoLeaderResponse());
   } else if (auto* report = std::get_if<Heartbeat>(&body)) {
@@ -187,7 +196,7 @@
       reply(HeartbeatResponse());
       return;
     }
-    reply(leader_->OnReport(*report));
+    reply(leader_->HandleHeartbeat(*report));
     on_work();
   } else {
     reply(std::monostate());
--- a/src/app/controller.h
+++ b/src/app/controller.h
@@ -9,11 +9,11 @@
 #include <string>
 #include <vector>
 
-#include "app/health.h"
-#include "app/settings.h"
-#include "app/status_budget.h"
-#include "app/tuning.h"
-#include "app/user_relay.h"
+#include "app/health_check.h"
+#include "app/request_forwarder.h"
+#include "app/status_rate_limiter.h"
+#include "config/settings.h"
+#include "config/tuning.h"
 #include "drain/policy_replicator.h"
 #include "leader/election.h"
 #include "leader/leader.h"
@@ -22,10 +22,10 @@
 namespace deckhall {
 
 struct ControllerPorts {
-  KeyValueStore* state = nullptr;
+  KeyValueStore* key_value_store = nullptr;
   CloudPort* cloud = nullptr;
-  WorkerPort* workers = nullptr;
-  MeshTransport* links = nullptr;
+  WorkerClient* workers = nullptr;
+  PeerTransport* peer_transport = nullptr;
   const Clock* clock = nullptr;
 };
 
@@ -33,10 +33,10 @@
 // ends at the leader, and must leave it room for reports, submissions and itself.
 double StatusRequestsPerSecond(const Settings& settings, const Tuning& tuning);
 
-class Controller : public LeaseView {
+class Controller : public LeadershipLease {
  public:
-  using UserDone = std::function<void(const JobResponse&)>;
-  using ReportDone = std::function<void(const HeartbeatResponse&)>;
+  using JobResponseCallback = std::function<void(const JobResponse&)>;
+  using HeartbeatResponseCallback = std::function<void(const HeartbeatResponse&)>;
 
   Controller(const ControllerPorts& ports, Settings settings, Tuning tuning, uint64_t instance);
   ~Controller() override;
@@ -46,47 +46,47 @@
   void Tick();
   // The policy of this controller's disruption file.
   void OfferPolicy(std::shared_ptr<const DisruptionPolicy> policy) {
-    policy_.Offer(std::move(policy));
+    policy_replicator_.Offer(std::move(policy));
   }
-  void User(JobRequest ask, UserDone done);
-  void CheckIn(Heartbeat report, ReportDone done);
-  bool Up() const { return health_.Up(ports_.clock->Now()); }
+  void HandleJobRequest(JobRequest ask, JobResponseCallback done);
+  void HandleHeartbeat(Heartbeat report, HeartbeatResponseCallback done);
+  bool IsHealthy() const { return health_.IsHealthy(ports_.clock->Now()); }
   Mesh& mesh() { return mesh_; }
   const Election& election() const { return election_; }
   // Null while another one leads.
   const Leader* leader() const { return leader_.get(); }
 
-  bool Trusted() const override { return election_.Trusted(); }
-  double TrustedUntil() const override { return election_.trusted_until(); }
+  bool IsLeaseValid() const override { return election_.IsLeaseValid(); }
+  double LeaseValidUntil() const override { return election_.lease_valid_until(); }
 
   // Something may have become due: Tick soon.
   std::function<void()> on_work = [] {};
 
  private:
-  void Won(uint64_t term);
-  void Lost();
+  void StartLeading(uint64_t term);
+  void StopLeading();
   // Whether the status request is taken; otherwise it is refused at once.
   bool AdmitStatusRequest(const std::string& job);
   // Serves the request if this controller leads.
-  bool ServeHere(const JobRequest& request, const UserDone& done);
-  void Served(Mesh::Body body, const Mesh::Reply& reply);
+  bool ServeHere(const JobRequest& request, const JobResponseCallback& done);
+  void HandlePeerRequest(Mesh::Body body, const Mesh::ResponseCallback& reply);
 
   ControllerPorts ports_;
   Settings settings_;
   Tuning tuning_;
   Election election_;
   std::unique_ptr<Leader> leader_;
-  struct Retired {
-    double since;
+  struct RetiredLeader {
+    double retired_at;
     std::unique_ptr<Leader> leader;
   };
-  std::vector<Retired> retired_;
+  std::vector<RetiredLeader> retired_leaders_;
   Mesh mesh_;
-  Health health_;
-  UserRelay relay_;
-  PolicyReplicator policy_;
-  double won_at_ = 0;
-  StatusBudget status_budget_;
+  HealthCheck health_;
+  RequestForwarder forwarder_;
+  PolicyReplicator policy_replicator_;
+  double elected_at_ = 0;
+  StatusRateLimiter status_rate_limiter_;
   std::optional<double> refusal_logged_at_;
 };
 
--- a/src/app/drains_command.cc
+++ b/src/app/drains_command.cc
@@ -80,8 +80,8 @@
 int PrintDrains(const Settings& settings) {
   Loop loop;
   const CommandClock clock;
-  KeyValueClient state(&loop, &clock, settings.state, settings.state_kept.rps,
-                       settings.state_kept.write_rps);
+  KeyValueClient state(&loop, &clock, settings.state, settings.effective_state_limits.rps,
+                       settings.effective_state_limits.write_rps);
   DrainRecords records;
   bool complete = false;
   Timer timeout(&loop, [&loop] { loop.Stop(); });
--- a/src/app/drains_command.h
+++ b/src/app/drains_command.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "app/settings.h"
+#include "config/settings.h"
 #include "drain/drain_records.h"
 
 namespace deckhall {
--- a/src/app/process.cc
+++ b/src/app/process.cc
@@ -7,9 +7,9 @@
 namespace deckhall {
 namespace {
 
-constexpr double kTick = 0.02;
-constexpr double kLogEvery = 60;
-constexpr double kPolicyEvery = 2;  // seconds
+constexpr double kTickSeconds = 0.02;
+constexpr double kLogIntervalSeconds = 60;
+constexpr double kPolicyCheckIntervalSeconds = 2;  // seconds
 
 uint64_t RandomInstance() {
   std::random_device device;
@@ -26,45 +26,47 @@
 
 Process::Process(Loop* loop, const Settings& settings, const Tuning& tuning,
                  const std::string& disruption_file)
-    : state_(loop, &clock_, settings.state, settings.state_kept.rps, settings.state_kept.write_rps),
-      cloud_(loop, &clock_, settings.cloud, settings.cloud_rps),
-      workers_(loop, static_cast<size_t>(WorkerConnections(settings))),
-      links_(loop, &clock_, settings.mesh_addr, settings.siblings),
-      controller_({&state_, &cloud_, &workers_, &links_, &clock_}, settings, tuning,
-                  RandomInstance()),
-      front_(&clock_, {[this](JobRequest a, Front::UserDone d) {
-                         controller_.User(std::move(a), std::move(d));
-                       },
-                       [this](Heartbeat r, Front::ReportDone d) {
-                         controller_.CheckIn(std::move(r), std::move(d));
-                       },
-                       [this] { return controller_.Up(); }}),
+    : key_value_client_(loop, &clock_, settings.state, settings.effective_state_limits.rps,
+                        settings.effective_state_limits.write_rps),
+      cloud_client_(loop, &clock_, settings.cloud, settings.cloud_rps),
+      worker_client_(loop, static_cast<size_t>(WorkerConnections(settings))),
+      peer_connections_(loop, &clock_, settings.mesh_addr, settings.siblings),
+      controller_(
+          {&key_value_client_, &cloud_client_, &worker_client_, &peer_connections_, &clock_},
+          settings, tuning, RandomInstance()),
+      http_api_(&clock_, {[this](JobRequest a, HttpApi::JobResponseCallback d) {
+                            controller_.HandleJobRequest(std::move(a), std::move(d));
+                          },
+                          [this](Heartbeat r, HttpApi::HeartbeatResponseCallback d) {
+                            controller_.HandleHeartbeat(std::move(r), std::move(d));
+                          },
+                          [this] { return controller_.IsHealthy(); }}),
       server_(loop, settings.serve_on, ServerLimits(settings),
-              [this](const HttpMessage& m, const HttpServer::Reply& r) { front_.Handle(m, r); }),
-      ticker_(loop, [this] { Tick(); }),
-      kick_(loop, [this] { controller_.Tick(); }),
+              [this](const HttpMessage& m, const HttpServer::Reply& r) { http_api_.Handle(m, r); }),
+      tick_timer_(loop, [this] { Tick(); }),
+      immediate_tick_(loop, [this] { controller_.Tick(); }),
       settings_(settings),
       policy_file_(disruption_file, &settings_) {
   controller_.on_work = [this] {
-    if (!kick_.active()) kick_.Start(0);
+    if (!immediate_tick_.active()) immediate_tick_.Start(0);
   };
-  links_.Start(&controller_.mesh());
-  next_log_ = clock_.Now() + kLogEvery;
-  ticker_.Start(0, kTick);
+  peer_connections_.Start(&controller_.mesh());
+  next_log_at_ = clock_.Now() + kLogIntervalSeconds;
+  tick_timer_.Start(0, kTickSeconds);
   spdlog::info("{} up", settings.label);
 }
 
 void Process::Tick() {
   controller_.Tick();
   const double now = clock_.Now();
-  if (now >= next_policy_) {
-    next_policy_ = now + kPolicyEvery;
+  if (now >= next_policy_check_at_) {
+    next_policy_check_at_ = now + kPolicyCheckIntervalSeconds;
     if (auto policy = policy_file_.ReadIfChanged()) controller_.OfferPolicy(std::move(policy));
   }
-  if (now < next_log_) return;
-  next_log_ = now + kLogEvery;
-  front_.LogLatency();
-  workers_.Trim();
+  if (now < next_log_at_) return;
+  next_log_at_ = now + kLogIntervalSeconds;
+  http_api_.LogSubmitLatency();
+  worker_client_.Trim();
 }
 
 }  // namespace deckhall
--- a/src/app/process.h
+++ b/src/app/process.h
@@ -3,12 +3,12 @@
 
 #include <memory>
 
-#include "api/front.h"
+#include "api/http_api.h"
 #include "app/controller.h"
 #include "app/policy_file.h"
 #include "cloud/cloud_client.h"
-#include "fleet/worker_client.h"
-#include "mesh/mesh_links.h"
+#include "fleet/http_worker_client.h"
+#include "mesh/peer_connections.h"
 #include "state/key_value_client.h"
 
 namespace deckhall {
@@ -31,19 +31,19 @@
   void Tick();
 
   SystemClock clock_;
-  KeyValueClient state_;
-  CloudClient cloud_;
-  WorkerClient workers_;
-  MeshLinks links_;
+  KeyValueClient key_value_client_;
+  CloudClient cloud_client_;
+  HttpWorkerClient worker_client_;
+  PeerConnections peer_connections_;
   Controller controller_;
-  Front front_;
+  HttpApi http_api_;
   HttpServer server_;
-  Timer ticker_;
-  Timer kick_;
+  Timer tick_timer_;
+  Timer immediate_tick_;
   Settings settings_;
   PolicyFile policy_file_;
-  double next_log_ = 0;
-  double next_policy_ = 0;
+  double next_log_at_ = 0;
+  double next_policy_check_at_ = 0;
 };
 
 }  // namespace deckhall
--- a/src/app/status_budget.h
+++ b/src/app/status_rate_limiter.h
@@ -21,22 +21,22 @@
 // T = max(1, p) * N / (rate * (1 - kKeptForOverdue)). If T <= kAnswerLasts, each of them is
 // answered again within kAnswerLasts + T + p seconds, however often others are asked about: while
 // one of them is refused, each of the others takes at most one request out of the budget.
-class StatusBudget {
+class StatusRateLimiter {
  public:
-  static constexpr double kAnswerLasts = 30;    // seconds
-  static constexpr double kAnswerExpected = 2;  // seconds
-  static constexpr double kCatchUp = 6;         // seconds
+  static constexpr double kAnswerLastsSeconds = 30;    // seconds
+  static constexpr double kAnswerExpectedSeconds = 2;  // seconds
+  static constexpr double kCatchUpSeconds = 6;         // seconds
 
   // Parts of the burst that only requests of a more pressing kind may use.
   static constexpr double kKeptForOverdue = 0.25;
   static constexpr double kKeptForUnanswered = 0.5;
 
-  explicit StatusBudget(double rate);
+  explicit StatusRateLimiter(double rate);
 
   // Whether a status request about the job is taken at time `now`.
   bool Admit(const std::string& job, double now);
   // A user was told the state of the job, or, with `exists` false, that there is none.
-  void Answered(const std::string& job, bool exists, double now);
+  void RecordAnswer(const std::string& job, bool exists, double now);
   // Jobs remembered; bounded by the rate, since only admitted ones are.
   size_t size() const { return jobs_.size(); }
 
--- a/src/cloud/rentals.cc
+++ b/src/cloud/rentals.cc
@@ -138,7 +138,7 @@
     if (at >= type_of_.size()) type_of_.resize(at + 1, nullptr);
     type_of_[at] = &t;
   }
-  fleet_->AllStale();
+  fleet_->InvalidateAllCapacity();
   std::vector<Pool> pools;
   for (const auto& t : types_) {
     for (const auto& z : t.zones) {
@@ -264,7 +264,7 @@
   }
   record_store_->Remove(intent.row);
   intents_.erase(it);
-  fleet_->changed = true;
+  fleet_->placement_needed = true;
 }
 
 void Rentals::SaveMachine(MachineIndex mi, WritePriority urgency) {
@@ -335,7 +335,7 @@
     if (!ok) return;
     for (MachineIndex i : which) {
       Machine& m = (*fleet_)[i];
-      fleet_->MarkGone(i, "returned");
+      fleet_->RemoveMachine(i, "returned");
       if (m.record_id != kNoRecord) record_store_->Remove(m.record_id);
       m.record_id = kNoRecord;
     }
@@ -357,7 +357,7 @@
     } else if (first) {
       record_store_->Update(types_row_, std::move(text), reserve, WritePriority::kBackground);
     }
-    fleet_->changed = true;
+    fleet_->placement_needed = true;
   });
 }
 
@@ -408,8 +408,8 @@
     if (m.removed || m.scaling_in) continue;
     m.registered = true;
     if (row.state == InstanceState::kFailed) {
-      fleet_->LoseAll(mi, "the machine failed");
-      fleet_->Account(mi);
+      fleet_->ReleaseAttempts(mi, "the machine failed");
+      fleet_->MarkReconciled(mi);
       Return(mi, "failed");
     }
   }
--- a/src/app/settings.cc
+++ b/src/config/settings.cc
@@ -1,4 +1,4 @@
-#include "app/settings.h"
+#include "config/settings.h"
 
 #include <algorithm>
 
@@ -70,16 +70,16 @@
 
 // The limits in force, and the announced ones that come without further notice.
 std::string ReadStateSection(const JsonValue* state, Settings* s) {
-  std::string bad = ReadStateLimits(state, &s->state_now);
+  std::string bad = ReadStateLimits(state, &s->current_state_limits);
   if (!bad.empty()) return "state." + bad;
-  s->state_kept = s->state_now;
+  s->effective_state_limits = s->current_state_limits;
   const JsonValue* next = state == nullptr ? nullptr : JsonMember(*state, "next");
   if (next == nullptr) return "";
   if (!next->IsObject()) return "state.next: not an object";
-  StateLimits announced = s->state_now;
+  StateLimits announced = s->current_state_limits;
   bad = ReadStateLimits(next, &announced);
   if (!bad.empty()) return "state.next." + bad;
-  s->state_kept = SmallerOf(s->state_now, announced);
+  s->effective_state_limits = SmallerOf(s->current_state_limits, announced);
   return "";
 }
 
@@ -135,17 +135,17 @@
   bad = ReadStateSection(state, s);
   if (!bad.empty()) return bad;
   double sockets = s->max_sockets;
-  const NumberField numbers[] = {{workers, "report_s", &s->report_s},
+  const NumberField numbers[] = {{workers, "report_s", &s->heartbeat_interval_s},
                                  {workers, "lease_s", &s->lease_s},
                                  {workers, "cancel_s", &s->cancel_s},
                                  {workers, "gang_wait_s", &s->gang_wait_s},
-                                 {workers, "gang_peer_s", &s->gang_peer_s},
+                                 {workers, "gang_peer_s", &s->gang_loss_detection_s},
                                  {cloud, "rps", &s->cloud_rps},
                                  {cloud, "list_lag_s", &s->cloud_lag_s},
                                  {quota, "max_sockets", &sockets},
-                                 {quota, "cores", &s->cores},
-                                 {quota, "mem_mb", &s->mem_mb},
-                                 {cluster, "time_bound_ms", &s->time_bound_ms}};
+                                 {quota, "cores", &s->quota_cores},
+                                 {quota, "mem_mb", &s->quota_memory_mb},
+                                 {cluster, "time_bound_ms", &s->wall_clock_bound_ms}};
   for (const NumberField& n : numbers) {
     bad = ReadPositive(n.in, n.name, n.to);
     if (!bad.empty()) return bad;
--- a/src/app/settings.h
+++ b/src/config/settings.h
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "fleet/model.h"
 #include "mesh/mesh.h"
+#include "model/model.h"
 #include "net/tcp.h"
 
 namespace deckhall {
@@ -29,19 +29,20 @@
   Endpoint state;
   std::vector<std::string> zones;
   std::vector<Team> teams;
-  double report_s = 3;
+  double heartbeat_interval_s = 3;
   double lease_s = 30;
   double cancel_s = 55;
   double gang_wait_s = 35;  // a gathering task waits so long for the rest of its gang
-  double gang_peer_s = 8;   // the tasks of a running gang notice a lost one within this time
-  StateLimits state_now;    // in force when the process starts
-  StateLimits state_kept;   // the smaller of those and the announced ones (`state.next`)
+  double gang_loss_detection_s =
+      8;  // the tasks of a running gang notice a lost one within this time
+  StateLimits current_state_limits;    // in force when the process starts
+  StateLimits effective_state_limits;  // the smaller of those and the announced ones (`state.next`)
   double cloud_rps = 4;
   double cloud_lag_s = 8;
   int max_sockets = 1000;
-  double cores = 1;     // of the processor, for this process
-  double mem_mb = 128;  // for this process
-  double time_bound_ms = 1000;
+  double quota_cores = 1;        // of the processor, for this process
+  double quota_memory_mb = 128;  // for this process
+  double wall_clock_bound_ms = 1000;
 };
 
 // Sockets are shared out: most for whoever connects to us, some kept open to
@@ -52,7 +53,7 @@
 }
 // Half of the controllers, rounded up, are to hold every worker. Should fewer be up, a full
 // table drops the connection idle longest, and workers come again with their next report.
-inline int MostMachines(const Settings& s) {
+inline int MaxMachines(const Settings& s) {
   const int controllers = static_cast<int>(s.siblings.size()) + 1;
   return ServedConnections(s) * ((controllers + 1) / 2);
 }
@@ -61,19 +62,19 @@
 // of them with its row, and so much a task, waiting or placed.
 constexpr double kBytesPerJob = 2048;
 constexpr double kBytesPerTask = 64;
-inline size_t MostLiveJobs(const Settings& s) {
-  return static_cast<size_t>(s.mem_mb * 1e6 / 4 / kBytesPerJob);
+inline size_t MaxActiveJobs(const Settings& s) {
+  return static_cast<size_t>(s.quota_memory_mb * 1e6 / 4 / kBytesPerJob);
 }
-inline size_t MostLiveTasks(const Settings& s) {
-  return static_cast<size_t>(s.mem_mb * 1e6 / 4 / kBytesPerTask);
+inline size_t MaxActiveTasks(const Settings& s) {
+  return static_cast<size_t>(s.quota_memory_mb * 1e6 / 4 / kBytesPerTask);
 }
 // Users who wait for an answer each hold a connection to some controller.
-inline size_t MostWaiters(const Settings& s) {
+inline size_t MaxPendingResponses(const Settings& s) {
   return static_cast<size_t>(ServedConnections(s)) * (s.siblings.size() + 1);
 }
 
 // Each asker holds a connection here; as many come from a node that can't reach the leader.
-inline size_t MostRelayed(const Settings& s) {
+inline size_t MaxForwardedRequests(const Settings& s) {
   return static_cast<size_t>(ServedConnections(s)) * 2;
 }
 
--- a/src/app/sexpression.cc
+++ b/src/config/sexpression.cc
@@ -1,4 +1,4 @@
-#include "app/sexpression.h"
+#include "config/sexpression.h"
 
 #include <cmath>
 #include <cstdlib>
--- a/src/app/tuning.cc
+++ b/src/config/tuning.cc
@@ -1,8 +1,8 @@
-#include "app/tuning.h"
+#include "config/tuning.h"
 
 #include <optional>
 
-#include "app/sexpression.h"
+#include "config/sexpression.h"
 
 namespace deckhall {
 namespace {
@@ -29,9 +29,10 @@
 const std::vector<TuningField>& TuningFields() {
   static const std::vector<TuningField> fields = {
       {"leader", "lease-ms", &Tuning::lease_ms, 500, 60000, "leader's lease in the state service"},
-      {"leader", "renew-ms", &Tuning::renew_ms, 50, 30000, "time between its renewals"},
+      {"leader", "renew-ms", &Tuning::keep_alive_ms, 50, 30000, "time between its renewals"},
       {"rank", "refresh-s", &Tuning::refresh_s, 0.5, 60, "ranks are refreshed at least so often"},
-      {"rank", "save-s", &Tuning::save_s, 1, 300, "work left is written at least so often"},
+      {"rank", "save-s", &Tuning::progress_save_s, 1, 300,
+       "work left is written at least so often"},
       {"rank", "weight-idle", &Tuning::weight_idle, 0.01, 1000, "share of idle jobs"},
       {"rank", "weight-normal", &Tuning::weight_normal, 0.01, 1000, "share of normal jobs"},
       {"rank", "weight-urgent", &Tuning::weight_urgent, 0.01, 1000, "share of urgent jobs"},
@@ -39,7 +40,7 @@
        "share of production arrays"},
       {"rank", "delay-fetches", &Tuning::delay_fetches, 0, 100,
        "so many fetch times an array waits for a machine that holds its image"},
-      {"rank", "passed-over-s", &Tuning::passed_over_s, 10, 100000,
+      {"rank", "passed-over-s", &Tuning::starvation_s, 10, 100000,
        "a job none of whose tasks found a place for so long goes first once"},
       {"rank", "preempt-after-s", &Tuning::preempt_after_s, 0, 600,
        "a job within its guarantee waits so long before others' tasks are stopped for it"},
@@ -49,38 +50,38 @@
        "for a gang whose fetch takes longer, tasks it may claim are stopped where the image is"},
       {"rank", "long-fetch-s", &Tuning::long_fetch_s, 0, 100000,
        "for a replica whose fetch takes longer, arrays are stopped where the image is"},
-      {"rank", "stop-for-image", &Tuning::stop_for_image, 0, 1000,
+      {"rank", "stop-for-image", &Tuning::preempt_for_image, 0, 1000,
        "work lost for that at the most, in core-times of the fetch"},
-      {"fleet", "silent-s", &Tuning::silent_s, 1, 600,
+      {"fleet", "silent-s", &Tuning::silent_after_s, 1, 600,
        "an idle machine silent for so long is probed, and gets nothing new"},
-      {"fleet", "probe-s", &Tuning::probe_s, 0.2, 600,
+      {"fleet", "probe-s", &Tuning::probe_interval_s, 0.2, 600,
        "a machine with tasks that is silent for so long is probed"},
-      {"fleet", "quick-lost-s", &Tuning::quick_lost_s, 0.5, 600,
+      {"fleet", "quick-lost-s", &Tuning::quick_death_s, 0.5, 600,
        "a machine silent for so long, and to two probes, is returned"},
-      {"fleet", "lost-s", &Tuning::lost_s, 1, 600,
+      {"fleet", "lost-s", &Tuning::death_s, 1, 600,
        "the same when several machines are silent at once"},
-      {"fleet", "lost-behind-cut-s", &Tuning::lost_behind_cut_s, 1, 600,
+      {"fleet", "lost-behind-cut-s", &Tuning::partition_death_s, 1, 600,
        "the same, for machines of a zone to which the way was blocked of late"},
-      {"fleet", "takeover-wait-s", &Tuning::takeover_wait_s, 1, 600,
+      {"fleet", "takeover-wait-s", &Tuning::failover_wait_s, 1, 600,
        "a new leader waits so long for a machine's first sign"},
-      {"fleet", "deaf-s", &Tuning::deaf_s, 1, 600,
+      {"fleet", "deaf-s", &Tuning::one_way_death_s, 1, 600,
        "a machine that reports, but answers nothing for so long, is returned"},
-      {"fleet", "message-ms", &Tuning::message_ms, 0.001, 100,
+      {"fleet", "message-ms", &Tuning::worker_call_ms, 0.001, 100,
        "processor time of one question to a worker, for the budgets below"},
       {"fleet", "probe-share", &Tuning::probe_share, 0.001, 1,
        "part of the processor for asking after machines"},
-      {"fleet", "direct-share", &Tuning::direct_share, 0.01, 1,
+      {"fleet", "direct-share", &Tuning::command_share, 0.01, 1,
        "part of the processor for commands sent straight to workers"},
-      {"capacity", "plan-s", &Tuning::plan_s, 0.2, 60, "time between plans"},
+      {"capacity", "plan-s", &Tuning::autoscale_interval_s, 0.2, 60, "time between plans"},
       {"capacity", "idle-spot-boots", &Tuning::idle_spot_boots, 0, 1000,
        "an idle spot machine is kept so long, in boot times"},
       {"capacity", "idle-ordinary-boots", &Tuning::idle_ordinary_boots, 0, 1000,
        "an idle ordinary machine is kept so long, in boot times"},
-      {"capacity", "drain-s", &Tuning::drain_s, 1, 3600,
+      {"capacity", "drain-s", &Tuning::backlog_drain_s, 1, 3600,
        "machines are rented so that waiting arrays are worked off in this time"},
       {"capacity", "patient-s", &Tuning::patient_s, 0, 3600,
        "services that waited so long may go where their image is missing"},
-      {"capacity", "headroom-free", &Tuning::headroom_free, 0, 1,
+      {"capacity", "headroom-free", &Tuning::headroom_reserved_share, 0, 1,
        "part of the room for replicas that arrays may not borrow"},
       {"capacity", "headroom-machines", &Tuning::headroom_machines, 0, 100,
        "room kept for replicas, in machines lost"},
@@ -116,7 +117,7 @@
       if (!bad.empty()) return bad;
     }
   }
-  if (out->renew_ms * 2 > out->lease_ms) return "leader renew-ms: more than half of lease-ms";
+  if (out->keep_alive_ms * 2 > out->lease_ms) return "leader renew-ms: more than half of lease-ms";
   if (out->late_boot > out->give_up_boot) return "capacity late-boot: more than give-up-boot";
   return "";
 }
--- a/src/drain/disruption_ledger.cc
+++ b/src/drain/disruption_ledger.cc
@@ -192,7 +192,7 @@
   const Task& task = (*job_store_)[replica.job].tasks[replica.task];
   const TaskAttempt* attempt = nullptr;
   if (task.phase == TaskPhase::kPlaced) {
-    attempt = fleet_->AttemptOf(task.machine, replica.job, replica.task, task.attempt);
+    attempt = fleet_->FindAttempt(task.machine, replica.job, replica.task, task.attempt);
   }
   const bool runs = attempt != nullptr && !attempt->released && attempt->wanted &&
                     attempt->state == TaskState::kRunning && attempt->running_since >= 0;
--- a/src/drain/drain_members.cc
+++ b/src/drain/drain_members.cc
@@ -21,7 +21,7 @@
     m.cordoned = m.scale_in_when_empty = false;
   }
   Sync();
-  fleet_->changed = true;
+  fleet_->placement_needed = true;
 }
 
 void DrainMembers::CountPools() {
--- a/src/drain/drainer.cc
+++ b/src/drain/drainer.cc
@@ -273,8 +273,8 @@
 void Drainer::MoveStuckReplica(MachineIndex mi, const TaskAttempt& slot) {
   if (slot.running_since >= 0 || !slot.wanted) return;
   if (clock_->Now() - slot.launched_at < policy_->times.replace_within_s) return;
-  fleet_->Unwant(mi, fleet_->AttemptOf(mi, slot.job, slot.task_index, slot.number), 0);
-  fleet_->changed = true;
+  fleet_->RequestStop(mi, fleet_->FindAttempt(mi, slot.job, slot.task_index, slot.number), 0);
+  fleet_->placement_needed = true;
 }
 
 bool Drainer::ExamineArrayTask(Drain* drain, MachineIndex mi, TaskAttempt* slot) {
@@ -296,9 +296,9 @@
   if (job.spec.gang) {
     gangs_->StopWhole(slot->job, "a drain is past its deadline");
   } else {
-    fleet_->Unwant(mi, slot, GraceOf(job));
+    fleet_->RequestStop(mi, slot, GraceOf(job));
   }
-  fleet_->changed = true;
+  fleet_->placement_needed = true;
   return true;
 }
 
--- a/src/drain/drainer_steps.cc
+++ b/src/drain/drainer_steps.cc
@@ -23,7 +23,7 @@
 
 TaskAttempt* Drainer::SlotOf(const DrainStep& step) {
   if (step.from == kNoIndex) return nullptr;
-  return fleet_->AttemptOf(step.from, step.job, step.task, step.attempt);
+  return fleet_->FindAttempt(step.from, step.job, step.task, step.attempt);
 }
 
 void Drainer::HoldPlace(DrainStep* step, MachineIndex place) {
@@ -35,7 +35,7 @@
   if (step->place == kNoIndex) return;
   free_capacity_->ReleaseRoom(step->place, (*job_store_)[step->job]);
   step->place = kNoIndex;
-  fleet_->changed = true;
+  fleet_->placement_needed = true;
 }
 
 void Drainer::AdvanceSteps() {
@@ -59,7 +59,7 @@
       const TaskAttempt* slot = SlotOf(*step);
       if (slot != nullptr && !slot->released) return true;
       step_book_.SetPhase(step, StepPhase::kReplacing);
-      fleet_->changed = true;
+      fleet_->placement_needed = true;
       return true;
     }
     case StepPhase::kReplacing:
@@ -98,8 +98,8 @@
   if (!free_capacity_->Current(step->place).usable) return false;
   spdlog::info("drain {}: moving {} off {}, to {}", step->drain, slot->task_name,
                (*fleet_)[step->from].name, (*fleet_)[step->place].name);
-  fleet_->Unwant(step->from, slot, GraceOf(job));
-  fleet_->changed = true;
+  fleet_->RequestStop(step->from, slot, GraceOf(job));
+  fleet_->placement_needed = true;
   // From here on it counts as what it is: down until its replacement is healthy.
   ledger_->Release(step->job, step->task);
   step_book_.SetPhase(step, StepPhase::kStopping);
@@ -139,7 +139,7 @@
     return false;
   }
   if (task.phase != TaskPhase::kPlaced) return true;
-  TaskAttempt* slot = fleet_->AttemptOf(task.machine, step->job, step->task, task.attempt);
+  TaskAttempt* slot = fleet_->FindAttempt(task.machine, step->job, step->task, task.attempt);
   if (slot == nullptr || slot->running_since >= 0) return true;
   spdlog::warn("drain {}: {} does not start on {}; another machine is tried", step->drain,
                slot->task_name, (*fleet_)[task.machine].name);
@@ -147,8 +147,8 @@
       job.failed_machines.end()) {
     job.failed_machines.push_back(task.machine);
   }
-  fleet_->Unwant(task.machine, slot, 0);
-  fleet_->changed = true;
+  fleet_->RequestStop(task.machine, slot, 0);
+  fleet_->placement_needed = true;
   const PlaceFinder::Result other = places_.Find(step->job, task.machine, true);
   if (!other.wait) HoldPlace(step, other.machine);
   return true;
@@ -161,7 +161,8 @@
     const Job& job = (*job_store_)[step.job];
     const Task& task = job.tasks[step.task];
     if (task.phase == TaskPhase::kPlaced) {
-      const TaskAttempt* slot = fleet_->AttemptOf(task.machine, step.job, step.task, task.attempt);
+      const TaskAttempt* slot =
+          fleet_->FindAttempt(task.machine, step.job, step.task, task.attempt);
       // The attempt before is still on its way out.
       if (slot != nullptr && !slot->wanted) continue;
     }
@@ -169,7 +170,7 @@
     if (task.phase != TaskPhase::kWaiting || job.lifecycle != JobLifecycle::kActive) continue;
     if (clock_->Now() < job.backoff_until || !free_capacity_->TeamRoom(job)) continue;
     if (!places_.StillFits(step.job, place)) continue;
-    fleet_->Place(place, step.job, step.task, fleet_->NewAttempt());
+    fleet_->PlaceTask(place, step.job, step.task, fleet_->NewAttemptNumber());
     free_capacity_->Take(job, place);
     (*fleet_)[place].idle_since = -1;
   }
--- a/src/drain/policy.cc
+++ b/src/drain/policy.cc
@@ -6,7 +6,7 @@
 #include <functional>
 #include <set>
 
-#include "app/sexpression.h"
+#include "config/sexpression.h"
 
 namespace deckhall {
 namespace {
--- a/src/drain/policy.h
+++ b/src/drain/policy.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "app/settings.h"
+#include "config/settings.h"
 
 namespace deckhall {
 
--- a/src/drain/policy_replicator.cc
+++ b/src/drain/policy_replicator.cc
@@ -26,7 +26,7 @@
 }
 
 size_t MostPolicyBytes(const Settings& settings) {
-  return static_cast<size_t>(settings.state_kept.value_kb * 1024 * kValueShare);
+  return static_cast<size_t>(settings.effective_state_limits.value_kb * 1024 * kValueShare);
 }
 
 void PolicyReplicator::Offer(std::shared_ptr<const DisruptionPolicy> local) {
--- a/src/fleet/cache_hints.cc
+++ b/src/fleet/cache_hints.cc
@@ -15,20 +15,20 @@
 
 }  // namespace
 
-bool CacheHints::LoadRow(RecordId row, const std::string& text) {
+bool CacheHints::LoadRecord(RecordId row, const std::string& text) {
   rapidjson::Document doc;
   if (!ParseJson(text, &doc) || !doc.IsObject()) return false;
   const JsonValue* names = JsonMember(doc, kNamesKey);
   const JsonValue* machines = JsonMember(doc, kMachinesKey);
   if (names != nullptr && names->IsArray()) {
-    loaded_rows_.push_back(row);
+    loaded_records_.push_back(row);
     for (const auto& name : names->GetArray()) {
       loaded_names_.emplace_back(name.IsString() ? name.GetString() : "");
     }
     return true;
   }
   if (machines == nullptr || !machines->IsArray()) return false;
-  loaded_rows_.push_back(row);
+  loaded_records_.push_back(row);
   for (const auto& entry : machines->GetArray()) {
     if (!entry.IsArray() || entry.Empty() || !entry[0].IsString()) continue;
     std::vector<uint32_t> images;
@@ -53,47 +53,49 @@
   loaded_names_ = {};
   // What is read is written anew by Save(). Rows made under larger limits go at once:
   // they may fit no page any more.
-  std::erase_if(loaded_rows_, [this](RecordId row) {
-    const bool large = record_store_->RecordBytes(row) > row_bytes_;
+  std::erase_if(loaded_records_, [this](RecordId row) {
+    const bool large = record_store_->RecordBytes(row) > record_bytes_;
     if (large) record_store_->Remove(row);
     return large;
   });
 }
 
-void CacheHints::SaveNames() {
+void CacheHints::SaveImageNames() {
   rapidjson::StringBuffer buffer;
   JsonWriter w(buffer);
   w.StartObject();
   w.Key(kNamesKey);
   w.StartArray();
   for (uint32_t i = 0; i < job_store_->images.size(); ++i) {
-    if (buffer.GetSize() + job_store_->images[i].size() + 8 > row_bytes_) break;
+    if (buffer.GetSize() + job_store_->images[i].size() + 8 > record_bytes_) break;
     w.String(job_store_->images[i]);
   }
   w.EndArray();
   w.EndObject();
   std::string text(buffer.GetString(), buffer.GetSize());
-  if (names_row_ == kNoRecord) {
-    names_row_ = record_store_->Add(std::move(text), row_bytes_, WritePriority::kBackground);
+  if (names_record_ == kNoRecord) {
+    names_record_ = record_store_->Add(std::move(text), record_bytes_, WritePriority::kBackground);
   } else {
-    record_store_->Update(names_row_, std::move(text), row_bytes_, WritePriority::kBackground);
+    record_store_->Update(names_record_, std::move(text), record_bytes_,
+                          WritePriority::kBackground);
   }
 }
 
-void CacheHints::Put(size_t at, std::string text) {
+void CacheHints::SaveRecord(size_t at, std::string text) {
   text = std::string("{\"") + kMachinesKey + "\":[" + text + "]}";
-  if (at < rows_.size()) {
-    record_store_->Update(rows_[at], std::move(text), row_bytes_, WritePriority::kBackground);
+  if (at < records_.size()) {
+    record_store_->Update(records_[at], std::move(text), record_bytes_, WritePriority::kBackground);
   } else {
-    rows_.push_back(record_store_->Add(std::move(text), row_bytes_, WritePriority::kBackground));
+    records_.push_back(
+        record_store_->Add(std::move(text), record_bytes_, WritePriority::kBackground));
   }
 }
 
 void CacheHints::Save() {
   // Written anew with all the room that they may need: where they were, other rows may
   // have filled the page.
-  for (RecordId row : std::exchange(loaded_rows_, {})) record_store_->Remove(row);
-  SaveNames();
+  for (RecordId row : std::exchange(loaded_records_, {})) record_store_->Remove(row);
+  SaveImageNames();
   std::string text;
   size_t used = 0;
   for (MachineIndex mi : fleet_->active()) {
@@ -106,15 +108,15 @@
     const size_t from = m.cached_images.size() - std::min(kMostImages, m.cached_images.size());
     for (size_t i = from; i < m.cached_images.size(); ++i) w.Uint(m.cached_images[i]);
     w.EndArray();
-    if (text.size() + buffer.GetSize() + 16 > row_bytes_) {
-      Put(used++, std::move(text));
+    if (text.size() + buffer.GetSize() + 16 > record_bytes_) {
+      SaveRecord(used++, std::move(text));
       text.clear();
     }
     if (!text.empty()) text += ',';
     text.append(buffer.GetString(), buffer.GetSize());
   }
-  Put(used++, std::move(text));
-  for (; used < rows_.size(); ++used) Put(used, "");
+  SaveRecord(used++, std::move(text));
+  for (; used < records_.size(); ++used) SaveRecord(used, "");
 }
 
 }  // namespace deckhall
--- a/src/fleet/cache_hints.h
+++ b/src/fleet/cache_hints.h
@@ -14,25 +14,28 @@
  public:
   // `row_bytes` is what one row may take.
   CacheHints(RecordStore* record_store, JobStore* job_store, Fleet* fleet, size_t row_bytes)
-      : record_store_(record_store), job_store_(job_store), fleet_(fleet), row_bytes_(row_bytes) {}
+      : record_store_(record_store),
+        job_store_(job_store),
+        fleet_(fleet),
+        record_bytes_(row_bytes) {}
 
   // Reads one row if it is one of ours.
-  bool LoadRow(RecordId row, const std::string& text);
+  bool LoadRecord(RecordId row, const std::string& text);
   // After all rows.
   void FinishLoad();
   void Save();
 
  private:
-  void SaveNames();
-  void Put(size_t at, std::string text);
+  void SaveImageNames();
+  void SaveRecord(size_t at, std::string text);
 
   RecordStore* record_store_;
   JobStore* job_store_;
   Fleet* fleet_;
-  size_t row_bytes_;
-  RecordId names_row_ = kNoRecord;
-  std::vector<RecordId> loaded_rows_;  // they have only the room that they take
-  std::vector<RecordId> rows_;
+  size_t record_bytes_;
+  RecordId names_record_ = kNoRecord;
+  std::vector<RecordId> loaded_records_;  // they have only the room that they take
+  std::vector<RecordId> records_;
   std::vector<std::string> loaded_names_;
   std::vector<std::pair<std::string, std::vector<uint32_t>>> loaded_;
 };
--- a/src/fleet/fleet.cc
+++ b/src/fleet/fleet.cc
@@ -8,10 +8,10 @@
 namespace deckhall {
 namespace {
 
-constexpr size_t kMaxImages = 16;
-constexpr double kStopAgain = 3.0;
+constexpr size_t kMaxCachedImages = 16;
+constexpr double kStopRetrySeconds = 3.0;
 
-bool SplitTask(const std::string& name, std::string* job, uint32_t* task) {
+bool SplitTaskName(const std::string& name, std::string* job, uint32_t* task) {
   const size_t slash = name.rfind('/');
   if (slash == std::string::npos) return false;
   *job = name.substr(0, slash);
@@ -20,12 +20,12 @@
   return err == std::errc() && at == end;
 }
 
-void Remember(std::vector<uint32_t>* images, uint32_t image) {
+void RememberImage(std::vector<uint32_t>* images, uint32_t image) {
   if (image == kNoIndex) return;
   auto it = std::find(images->begin(), images->end(), image);
   if (it != images->end()) images->erase(it);
   images->push_back(image);
-  if (images->size() > kMaxImages) images->erase(images->begin());
+  if (images->size() > kMaxCachedImages) images->erase(images->begin());
 }
 
 }  // namespace
@@ -35,7 +35,7 @@
       clock_(clock),
       term_(term),
       options_(options),
-      next_attempt_((term << kTermShift) + 1) {}
+      next_attempt_number_((term << kTermShift) + 1) {}
 
 MachineIndex Fleet::Find(const std::string& name) const {
   auto it = index_.find(name);
@@ -56,41 +56,41 @@
 void Fleet::MarkChanged(MachineIndex mi) {
   if (machines_[mi].queued_for_update) return;
   machines_[mi].queued_for_update = true;
-  touched_.push_back(mi);
+  changed_machines_.push_back(mi);
 }
 
-bool Fleet::TakeChanged(MachineIndex* m) {
-  if (touched_.empty()) return false;
-  *m = touched_.front();
-  touched_.pop_front();
+bool Fleet::PopChanged(MachineIndex* m) {
+  if (changed_machines_.empty()) return false;
+  *m = changed_machines_.front();
+  changed_machines_.pop_front();
   machines_[*m].queued_for_update = false;
   return true;
 }
 
-void Fleet::AllStale() {
+void Fleet::InvalidateAllCapacity() {
   for (MachineIndex m : active_) machines_[m].capacity_stale = true;
-  changed = true;
+  placement_needed = true;
 }
 
-void Fleet::Changed(MachineIndex mi) {
+void Fleet::InvalidateMachine(MachineIndex mi) {
   machines_[mi].capacity_stale = true;
-  changed = true;
+  placement_needed = true;
   MarkChanged(mi);
 }
 
-void Fleet::NoteChange(const TaskAttempt& slot) {
+void Fleet::NotifyReplicaChanged(const TaskAttempt& slot) {
   if (observer != nullptr && slot.service && slot.job != kNoIndex) {
     observer->ReplicaChanged(slot.job, slot.task_index);
   }
 }
 
-void Fleet::NoteEarlyEnd(const TaskAttempt& slot) {
+void Fleet::NotifyArrayTaskStopped(const TaskAttempt& slot) {
   if (observer == nullptr || slot.service || slot.job == kNoIndex || !slot.reported) return;
   if ((*job_store_)[slot.job].lifecycle == JobLifecycle::kActive)
     observer->ArrayTaskStopped(slot.job);
 }
 
-TaskAttempt* Fleet::AttemptOf(MachineIndex mi, JobIndex j, uint32_t task, uint64_t attempt) {
+TaskAttempt* Fleet::FindAttempt(MachineIndex mi, JobIndex j, uint32_t task, uint64_t attempt) {
   for (TaskAttempt& s : machines_[mi].attempts) {
     if (s.job == j && s.task_index == task && s.number == attempt) return &s;
   }
@@ -110,9 +110,9 @@
         !job.spec.service && !job.spec.gang && job.spec.priority < Priority::kProduction;
     ++job.attempt_count;
     job.machines.push_back(mi);
-    if (slot.team >= team_use_.size()) team_use_.resize(slot.team + 1);
-    team_use_[slot.team].cores += slot.cores;
-    team_use_[slot.team].gpus += slot.gpus;
+    if (slot.team >= team_usage_.size()) team_usage_.resize(slot.team + 1);
+    team_usage_[slot.team].cores += slot.cores;
+    team_usage_[slot.team].gpus += slot.gpus;
   }
   ++m.active_attempts;
   m.used_cores += slot.cores;
@@ -121,16 +121,16 @@
   if (slot.service) m.service_cores += slot.cores;
   if (slot.preemptible) m.preemptible_cores += slot.cores;
   m.attempts.push_back(std::move(slot));
-  NoteChange(m.attempts.back());
-  Changed(mi);
+  NotifyReplicaChanged(m.attempts.back());
+  InvalidateMachine(mi);
   return m.attempts.back();
 }
 
-void Fleet::Vacate(MachineIndex mi, TaskAttempt* slot) {
+void Fleet::ReleaseResources(MachineIndex mi, TaskAttempt* slot) {
   Machine& m = machines_[mi];
   if (slot->released) return;
   slot->released = true;
-  NoteChange(*slot);
+  NotifyReplicaChanged(*slot);
   --m.active_attempts;
   m.used_cores -= slot->cores;
   m.used_gpus -= slot->gpus;
@@ -148,28 +148,28 @@
       *it = job.machines.back();
       job.machines.pop_back();
     }
-    team_use_[slot->team].cores -= slot->cores;
-    team_use_[slot->team].gpus -= slot->gpus;
+    team_usage_[slot->team].cores -= slot->cores;
+    team_usage_[slot->team].gpus -= slot->gpus;
   }
-  Changed(mi);
+  InvalidateMachine(mi);
 }
 
 void Fleet::EraseAttempt(MachineIndex mi, size_t at) {
   Machine& m = machines_[mi];
-  Vacate(mi, &m.attempts[at]);
+  ReleaseResources(mi, &m.attempts[at]);
   if (m.attempts[at].job != kNoIndex) --(*job_store_)[m.attempts[at].job].attempt_count;
   m.attempts.erase(m.attempts.begin() + static_cast<ptrdiff_t>(at));
-  Changed(mi);
+  InvalidateMachine(mi);
 }
 
-TaskAttempt* Fleet::FindAttempt(Machine& m, const TaskStatus& t) {
+TaskAttempt* Fleet::FindReportedAttempt(Machine& m, const TaskStatus& t) {
   for (TaskAttempt& s : m.attempts) {
     if (s.number == t.attempt && s.task_name == t.task_name) return &s;
   }
   return nullptr;
 }
 
-bool Fleet::Process(MachineIndex mi, const Heartbeat& r) {
+bool Fleet::ApplyHeartbeat(MachineIndex mi, const Heartbeat& r) {
   Machine& m = machines_[mi];
   const double now = clock_->Now();
   // Reports and answers overtake each other; the larger (session, seq) is newer.
@@ -189,22 +189,22 @@
   if (!m.up) {
     m.up = true;
     m.up_at = now;
-    Changed(mi);
+    InvalidateMachine(mi);
   }
   if (r.agent_epoch > m.agent_epoch) {
-    if (!m.attempts.empty()) LoseAll(mi, "a new session began there");
+    if (!m.attempts.empty()) ReleaseAttempts(mi, "a new session began there");
     // Its lease ran out, so our answers may not reach it: reports alone are no proof
     // that it hears. It gets nothing before it has shown a token younger than this.
     ++m.fencing_token;
-    Changed(mi);
+    InvalidateMachine(mi);
   }
   m.agent_epoch = r.agent_epoch;
   m.sequence = r.sequence;
-  if (!Hears(m) && r.fencing_token >= m.fencing_token) {
+  if (!HasAcknowledgedToken(m) && r.fencing_token >= m.fencing_token) {
     m.last_acknowledged_at = now;
     m.unreachable_since = -1;
     m.unreachable_count = 0;
-    Changed(mi);
+    InvalidateMachine(mi);
   }
   m.acknowledged_token = std::max(m.acknowledged_token, r.fencing_token);
   // A token of this term that we never gave out can only be a twin of ours from
@@ -213,39 +213,39 @@
     m.fencing_token = r.fencing_token;
   if (r.preemption_notice_s && m.preemption_at < 0) {
     m.preemption_at = now + *r.preemption_notice_s;
-    Changed(mi);
+    InvalidateMachine(mi);
     spdlog::info("machine {}: the cloud takes it in {} s", m.name, *r.preemption_notice_s);
   }
   if (!m.reconciled) {
     // Until the worker has seen this term's token, a former leader's command may
     // still change what is on it.
     if (TermOf(r.fencing_token) < term_) return true;
-    Account(mi);
+    MarkReconciled(mi);
   }
   std::vector<char> listed(m.attempts.size(), 0);
   const size_t known = m.attempts.size();
   for (const TaskStatus& t : r.tasks) {
-    TaskAttempt* slot = FindAttempt(m, t);
+    TaskAttempt* slot = FindReportedAttempt(m, t);
     if (slot == nullptr) {
-      Adopt(mi, t);
+      AdoptAttempt(mi, t);
       continue;
     }
     const auto at = static_cast<size_t>(slot - m.attempts.data());
     if (at < known) listed[at] = 1;
-    Apply(mi, slot, t);
+    ApplyTaskStatus(mi, slot, t);
   }
   for (size_t i = known; i-- > 0;) {
     if (listed[i] != 0) continue;
     TaskAttempt& slot = m.attempts[i];
     if (slot.reported) {
       // Cleared, or lost there.
-      if (!slot.released) FreeTask(mi, slot);
+      if (!slot.released) RequeueTask(mi, slot);
       EraseAttempt(mi, i);
     } else if (slot.launch_fencing_token == 0 || slot.launch_fencing_token < r.fencing_token) {
       // Never sent, or the worker's higher token keeps that launch out for good.
       slot.launch_fencing_token = 0;
       if (!slot.wanted) {
-        FreeTask(mi, slot);
+        RequeueTask(mi, slot);
         EraseAttempt(mi, i);
       } else {
         MarkChanged(mi);
@@ -255,7 +255,7 @@
   return true;
 }
 
-void Fleet::ProbeFailed(MachineIndex mi) {
+void Fleet::RecordUnreachable(MachineIndex mi) {
   Machine& m = machines_[mi];
   if (m.unreachable_since < 0) m.unreachable_since = clock_->Now();
   ++m.unreachable_count;
@@ -267,23 +267,23 @@
   for (size_t i = m.attempts.size(); i-- > 0;) {
     const TaskAttempt& s = m.attempts[i];
     if (s.released || s.reported || s.launch_fencing_token != 0) continue;
-    FreeTask(mi, s);
+    RequeueTask(mi, s);
     EraseAttempt(mi, i);
   }
 }
 
-void Fleet::BeganAnew(MachineIndex mi, const Heartbeat& r) {
+void Fleet::HandleAgentRestart(MachineIndex mi, const Heartbeat& r) {
   Machine& m = machines_[mi];
   spdlog::info("machine {}: its worker began anew (session {}, number {})", m.name, r.agent_epoch,
                r.sequence);
-  LoseAll(mi, "its worker began anew");
+  ReleaseAttempts(mi, "its worker began anew");
   m.agent_epoch = r.agent_epoch;
   m.sequence = r.sequence - 1;
   m.acknowledged_token = r.fencing_token;
-  Changed(mi);
+  InvalidateMachine(mi);
 }
 
-void Fleet::Answered(MachineIndex mi, const Heartbeat& r, Stamp asked) {
+void Fleet::ApplyProbeResponse(MachineIndex mi, const Heartbeat& r, HeartbeatVersion asked) {
   Machine& m = machines_[mi];
   m.last_acknowledged_at = clock_->Now();
   m.unreachable_since = -1;
@@ -291,16 +291,16 @@
   m.suspected = false;
   m.probe_failures = 0;
   // The worker we knew would have counted on from what we had seen before we asked.
-  const bool older =
-      r.agent_epoch < asked.session || (r.agent_epoch == asked.session && r.sequence <= asked.seq);
-  if (older && r.sequence > 0) BeganAnew(mi, r);
-  Process(mi, r);
+  const bool older = r.agent_epoch < asked.agent_epoch ||
+                     (r.agent_epoch == asked.agent_epoch && r.sequence <= asked.sequence);
+  if (older && r.sequence > 0) HandleAgentRestart(mi, r);
+  ApplyHeartbeat(mi, r);
 }
 
-void Fleet::RecountRunning(TaskAttempt* slot, bool now_running) {
+void Fleet::SetRunning(TaskAttempt* slot, bool now_running) {
   const bool before = slot->running_since >= 0;
   if (before == now_running || slot->job == kNoIndex) return;
-  NoteChange(*slot);
+  NotifyReplicaChanged(*slot);
   Job& job = (*job_store_)[slot->job];
   if (now_running) {
     slot->running_since = clock_->Now();
@@ -312,7 +312,7 @@
   }
 }
 
-void Fleet::Apply(MachineIndex mi, TaskAttempt* slot, const TaskStatus& t) {
+void Fleet::ApplyTaskStatus(MachineIndex mi, TaskAttempt* slot, const TaskStatus& t) {
   Machine& m = machines_[mi];
   slot->reported = true;
   if (slot->released) return;
@@ -321,22 +321,22 @@
   }
   if (slot->state != t.state) {
     machines_[mi].capacity_stale = true;
-    NoteChange(*slot);
+    NotifyReplicaChanged(*slot);
   }
   slot->state = t.state;
   if (slot->job != kNoIndex && t.state != TaskState::kFetching &&
       t.exit_reason != ExitReason::kNoRoom && t.exit_reason != ExitReason::kInUse &&
       t.exit_reason != ExitReason::kUnknown) {
-    Remember(&m.cached_images, (*job_store_)[slot->job].image);
+    RememberImage(&m.cached_images, (*job_store_)[slot->job].image);
   }
-  if (t.state == TaskState::kRunning) RecountRunning(slot, true);
+  if (t.state == TaskState::kRunning) SetRunning(slot, true);
   if (t.state == TaskState::kExited) {
     slot->exit_reason = t.exit_reason;
-    Exited(mi, slot);
+    HandleExit(mi, slot);
   }
 }
 
-void Fleet::Adopt(MachineIndex mi, const TaskStatus& t) {
+void Fleet::AdoptAttempt(MachineIndex mi, const TaskStatus& t) {
   Machine& m = machines_[mi];
   TaskAttempt slot;
   slot.task_name = t.task_name;
@@ -345,7 +345,7 @@
   slot.launched_at = clock_->Now();
   std::string id;
   uint32_t task = 0;
-  const JobIndex j = SplitTask(t.task_name, &id, &task) ? job_store_->Find(id) : kNoIndex;
+  const JobIndex j = SplitTaskName(t.task_name, &id, &task) ? job_store_->Find(id) : kNoIndex;
   const bool known =
       j != kNoIndex && (*job_store_)[j].has_spec && task < (*job_store_)[j].tasks.size();
   if (known) {
@@ -369,10 +369,10 @@
   if (!slot.wanted && t.state != TaskState::kExited) {
     spdlog::info("machine {}: {} (attempt {}) is not wanted there", m.name, t.task_name, t.attempt);
   }
-  Apply(mi, &AddAttempt(mi, std::move(slot)), t);
+  ApplyTaskStatus(mi, &AddAttempt(mi, std::move(slot)), t);
 }
 
-void Fleet::FreeTask(MachineIndex mi, const TaskAttempt& slot) {
+void Fleet::RequeueTask(MachineIndex mi, const TaskAttempt& slot) {
   if (slot.job == kNoIndex) return;
   Job& job = (*job_store_)[slot.job];
   if (slot.running_since >= 0 && job.tasks_running > 0) --job.tasks_running;
@@ -384,9 +384,9 @@
   }
 }
 
-void Fleet::Exited(MachineIndex mi, TaskAttempt* slot) {
+void Fleet::HandleExit(MachineIndex mi, TaskAttempt* slot) {
   Machine& m = machines_[mi];
-  Vacate(mi, slot);
+  ReleaseResources(mi, slot);
   spdlog::debug("{} on {} exited, why {}", slot->task_name, m.name,
                 static_cast<int>(slot->exit_reason));
   if (slot->job != kNoIndex && (*job_store_)[slot->job].has_spec) {
@@ -398,7 +398,7 @@
         // Done here while another attempt is wanted elsewhere: that one goes.
         for (TaskAttempt& other : machines_[t.machine].attempts) {
           if (other.job == slot->job && other.task_index == slot->task_index && !other.released) {
-            Unwant(t.machine, &other, 0);
+            RequestStop(t.machine, &other, 0);
           }
         }
       }
@@ -406,7 +406,7 @@
         // The tasks of a gang complete together. Once is enough: each of them says so.
         if (job.tasks_done < job.tasks.size()) {
           job_store_->MarkAllTasksDone(slot->job);
-          UnwantUnseen(slot->job);
+          RequestStopOfUnreported(slot->job);
         }
       } else {
         job_store_->MarkTaskDone(slot->job, slot->task_index);
@@ -425,15 +425,15 @@
         }
       }
     } else {
-      FreeTask(mi, *slot);
+      RequeueTask(mi, *slot);
       slot->running_since = -1;  // counted off already
     }
   }
-  if (on_exit) on_exit(mi, *slot);
-  RecountRunning(slot, false);
+  if (on_attempt_exited) on_attempt_exited(mi, *slot);
+  SetRunning(slot, false);
 }
 
-void Fleet::Place(MachineIndex mi, JobIndex j, uint32_t task, uint64_t attempt, bool passed) {
+void Fleet::PlaceTask(MachineIndex mi, JobIndex j, uint32_t task, uint64_t attempt, bool passed) {
   Machine& m = machines_[mi];
   const Job& job = (*job_store_)[j];
   TaskAttempt slot;
@@ -449,46 +449,46 @@
   AddAttempt(mi, std::move(slot));
 }
 
-void Fleet::Unwant(MachineIndex mi, TaskAttempt* slot, double grace_s) {
+void Fleet::RequestStop(MachineIndex mi, TaskAttempt* slot, double grace_s) {
   MarkChanged(mi);
   if (!slot->wanted && grace_s >= slot->grace_period_s) return;
   if (!slot->wanted) slot->stop_sent_at = -1e9;  // a shorter grace is told at once
-  if (slot->wanted) NoteEarlyEnd(*slot);
+  if (slot->wanted) NotifyArrayTaskStopped(*slot);
   slot->wanted = false;
-  NoteChange(*slot);
+  NotifyReplicaChanged(*slot);
   slot->grace_period_s = grace_s;
 }
 
-void Fleet::UnwantJob(JobIndex j) {
+void Fleet::RequestStopOfJob(JobIndex j) {
   const std::vector<MachineIndex> on = (*job_store_)[j].machines;
   for (MachineIndex m : on) {
     for (TaskAttempt& s : machines_[m].attempts) {
-      if (s.job == j && !s.released) Unwant(m, &s, 0);
+      if (s.job == j && !s.released) RequestStop(m, &s, 0);
     }
   }
 }
 
-void Fleet::UnwantUnseen(JobIndex j) {
+void Fleet::RequestStopOfUnreported(JobIndex j) {
   for (MachineIndex m : (*job_store_)[j].machines) {
     for (TaskAttempt& s : machines_[m].attempts) {
-      if (s.job == j && !s.released && !s.reported) Unwant(m, &s, 0);
+      if (s.job == j && !s.released && !s.reported) RequestStop(m, &s, 0);
     }
   }
 }
 
-bool Fleet::MayForget(const TaskAttempt& s) const {
+bool Fleet::MayAcknowledgeExit(const TaskAttempt& s) const {
   if (!s.released) return false;
   // A finished task is durable before its machine forgets it.
   if (s.exit_reason != ExitReason::kDone || s.job == kNoIndex) return true;
   return job_store_->IsTaskDurable(s.job, s.task_index);
 }
 
-std::vector<Command> Fleet::StopsOfEnded(const Heartbeat& report) const {
+std::vector<Command> Fleet::BuildStopsOfEndedJobs(const Heartbeat& report) const {
   std::vector<Command> out;
   for (const TaskStatus& t : report.tasks) {
     std::string id;
     uint32_t task = 0;
-    if (t.state == TaskState::kExited || !SplitTask(t.task_name, &id, &task)) continue;
+    if (t.state == TaskState::kExited || !SplitTaskName(t.task_name, &id, &task)) continue;
     const JobIndex j = job_store_->Find(id);
     if (j == kNoIndex || (*job_store_)[j].lifecycle == JobLifecycle::kActive) continue;
     out.push_back({CommandOp::kStop, t.task_name, t.attempt, 0});
@@ -504,7 +504,7 @@
   for (const TaskAttempt& s : m.attempts) {
     if (s.released) continue;
     if (!s.wanted) {
-      if (!s.reported || now - s.stop_sent_at > kStopAgain) return true;
+      if (!s.reported || now - s.stop_sent_at > kStopRetrySeconds) return true;
     } else if (!s.reported && launch) {
       return true;
     }
@@ -512,15 +512,15 @@
   return false;
 }
 
-Command Fleet::StopOf(TaskAttempt* s) const {
+Command Fleet::BuildStop(TaskAttempt* s) const {
   const double now = clock_->Now();
   if (s->first_stop_sent_at < 0) s->first_stop_sent_at = now;
   // Told long ago and still there: no more time to save.
-  const bool late = now - s->first_stop_sent_at > s->grace_period_s + kStopAgain;
+  const bool late = now - s->first_stop_sent_at > s->grace_period_s + kStopRetrySeconds;
   return {CommandOp::kStop, s->task_name, s->number, late ? 0 : s->grace_period_s};
 }
 
-std::vector<Command> Fleet::Commands(MachineIndex mi, bool launch) {
+std::vector<Command> Fleet::BuildCommands(MachineIndex mi, bool launch) {
   Machine& m = machines_[mi];
   const double now = clock_->Now();
   std::vector<Command> out;
@@ -529,7 +529,7 @@
     const TaskAttempt& s = m.attempts[i];
     if (s.wanted || s.reported) continue;
     if (s.launch_fencing_token == 0) {
-      FreeTask(mi, s);
+      RequeueTask(mi, s);
       EraseAttempt(mi, i);
     } else if (s.launch_fencing_token == m.fencing_token) {
       // Its launch may still come; a higher token shuts it out.
@@ -537,15 +537,15 @@
     }
   }
   for (TaskAttempt& s : m.attempts) {
-    if (s.released && MayForget(s)) {
+    if (s.released && MayAcknowledgeExit(s)) {
       out.push_back({CommandOp::kAcknowledgeExit, s.task_name, s.number, 0});
-    } else if (!s.released && !s.wanted && s.reported && now - s.stop_sent_at > kStopAgain) {
-      out.push_back(StopOf(&s));
+    } else if (!s.released && !s.wanted && s.reported && now - s.stop_sent_at > kStopRetrySeconds) {
+      out.push_back(BuildStop(&s));
       s.stop_sent_at = now;
     }
   }
   // A machine that has not shown that it hears gets nothing new.
-  if (!launch || !Hears(m)) return out;
+  if (!launch || !HasAcknowledgedToken(m)) return out;
   for (TaskAttempt& s : m.attempts) {
     if (s.released || !s.wanted || s.reported) continue;
     out.push_back({CommandOp::kStart, s.task_name, s.number, 0});
@@ -554,74 +554,74 @@
   return out;
 }
 
-std::vector<Command> Fleet::Stops(MachineIndex mi) {
+std::vector<Command> Fleet::BuildStops(MachineIndex mi) {
   std::vector<Command> out;
   for (TaskAttempt& s : machines_[mi].attempts) {
-    if (!s.released && !s.wanted && s.reported) out.push_back(StopOf(&s));
+    if (!s.released && !s.wanted && s.reported) out.push_back(BuildStop(&s));
   }
   return out;
 }
 
-void Fleet::Unanswered(MachineIndex mi) {
+void Fleet::FenceOffSentCommands(MachineIndex mi) {
   // Late commands die of the higher token. Without it a launch could come after
   // its attempt was cleared, and start once more.
   ++machines_[mi].fencing_token;
-  Changed(mi);
+  InvalidateMachine(mi);
 }
 
-void Fleet::LoseAll(MachineIndex mi, const char* why) {
+void Fleet::ReleaseAttempts(MachineIndex mi, const char* why) {
   Machine& m = machines_[mi];
   size_t lost = 0;
   for (size_t i = m.attempts.size(); i-- > 0;) {
     if (!m.attempts[i].released) {
       ++lost;
-      if (m.attempts[i].wanted) NoteEarlyEnd(m.attempts[i]);
-      FreeTask(mi, m.attempts[i]);
+      if (m.attempts[i].wanted) NotifyArrayTaskStopped(m.attempts[i]);
+      RequeueTask(mi, m.attempts[i]);
     }
     EraseAttempt(mi, i);
   }
   if (lost > 0) spdlog::info("machine {}: {} tasks lost: {}", m.name, lost, why);
-  Changed(mi);
+  InvalidateMachine(mi);
 }
 
-void Fleet::MarkGone(MachineIndex mi, const char* why) {
+void Fleet::RemoveMachine(MachineIndex mi, const char* why) {
   Machine& m = machines_[mi];
   if (m.removed) return;
-  LoseAll(mi, why);
-  Account(mi);
+  ReleaseAttempts(mi, why);
+  MarkReconciled(mi);
   m.removed = true;
   m.cached_images.clear();
   active_.erase(std::find(active_.begin(), active_.end(), mi));
-  changed = true;
+  placement_needed = true;
   spdlog::info("machine {} is gone: {}", m.name, why);
 }
 
-void Fleet::Account(MachineIndex mi) {
+void Fleet::MarkReconciled(MachineIndex mi) {
   Machine& m = machines_[mi];
   if (m.reconciled) return;
   m.reconciled = true;
-  Changed(mi);
-  if (m.may_run_former_attempts) on_accounted();
+  InvalidateMachine(mi);
+  if (m.may_run_former_attempts) on_machine_reconciled();
 }
 
-uint32_t Fleet::Unaccounted() const {
+uint32_t Fleet::CountUnreconciled() const {
   return static_cast<uint32_t>(
       std::count_if(active_.begin(), active_.end(), [this](MachineIndex m) {
         return machines_[m].may_run_former_attempts && !machines_[m].reconciled;
       }));
 }
 
-bool Fleet::LeaseOver(const Machine& m, double now, double term_began) const {
-  const double lease = options_.lease_s * (1 + options_.drift) + 0.5;
+bool Fleet::IsLeaseExpired(const Machine& m, double now, double term_began) const {
+  const double lease = options_.lease_s * (1 + options_.clock_drift) + 0.5;
   if (m.reconciled) return now > std::max(m.lease_renewed_at, m.last_heard_at) + lease;
   // Unless a former leader said that it does not.
   if (m.unrenewed_since_wall >= 0 &&
-      clock_->Wall() > m.unrenewed_since_wall + lease + 2 * options_.wall_bound_s) {
+      clock_->Wall() > m.unrenewed_since_wall + lease + 2 * options_.wall_clock_bound_s) {
     return true;
   }
   // A former leader may have answered it until its hold was over.
-  const double last =
-      std::max(m.lease_renewed_at, term_began + options_.former_grace_s * (1 + options_.drift));
+  const double last = std::max(
+      m.lease_renewed_at, term_began + options_.former_leader_grace_s * (1 + options_.clock_drift));
   return now > last + lease;
 }
 
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -8,7 +8,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "fleet/model.h"
+#include "model/model.h"
 #include "net/clock.h"
 #include "state/job_store.h"
 
@@ -16,9 +16,9 @@
 
 struct FleetOptions {
   double lease_s = 30;
-  double former_grace_s = 20;  // how long a former leader may go on answering reports
-  double drift = 0.002;
-  double wall_bound_s = 1;  // how far clocks may be from the true time of day
+  double former_leader_grace_s = 20;  // how long a former leader may go on answering reports
+  double clock_drift = 0.002;
+  double wall_clock_bound_s = 1;  // how far clocks may be from the true time of day
 };
 
 // Tokens and attempts carry the term in their high bits.
@@ -26,12 +26,12 @@
 inline uint64_t TermOf(uint64_t token) { return token >> kTermShift; }
 
 // Session and number of a machine's message; a larger one is newer.
-struct Stamp {
-  uint64_t session = 0;
-  uint64_t seq = 0;
+struct HeartbeatVersion {
+  uint64_t agent_epoch = 0;
+  uint64_t sequence = 0;
 };
 
-struct Use {
+struct ResourceUsage {
   double cores = 0;
   double gpus = 0;
 };
@@ -62,82 +62,87 @@
 
   // Takes in a report or a command's answer. False when it is older than what is
   // known already.
-  bool Process(MachineIndex m, const Heartbeat& report);
+  bool ApplyHeartbeat(MachineIndex m, const Heartbeat& report);
   // The same for an answer to a question asked when `asked` was the newest known:
   // shows that the machine hears, and whether its worker began anew meanwhile.
-  void Answered(MachineIndex m, const Heartbeat& report, Stamp asked);
-  Stamp StampOf(MachineIndex m) const { return {machines_[m].agent_epoch, machines_[m].sequence}; }
+  void ApplyProbeResponse(MachineIndex m, const Heartbeat& report, HeartbeatVersion asked);
+  HeartbeatVersion VersionOf(MachineIndex m) const {
+    return {machines_[m].agent_epoch, machines_[m].sequence};
+  }
   // A question stayed unanswered.
-  void ProbeFailed(MachineIndex m);
+  void RecordUnreachable(MachineIndex m);
   // Has shown that it heard the token it would get commands with.
-  static bool Hears(const Machine& m) { return m.acknowledged_token >= m.fencing_token; }
+  static bool HasAcknowledgedToken(const Machine& m) {
+    return m.acknowledged_token >= m.fencing_token;
+  }
   // Has shown a token of this term: a former leader's answers don't reach it any more.
-  bool Ours(const Machine& m) const { return TermOf(m.acknowledged_token) == term_; }
+  bool KnowsCurrentTerm(const Machine& m) const { return TermOf(m.acknowledged_token) == term_; }
   // Puts a task there; the launch goes out with the next commands.
-  void Place(MachineIndex m, JobIndex job, uint32_t task, uint64_t attempt, bool passed = false);
+  void PlaceTask(MachineIndex m, JobIndex job, uint32_t task, uint64_t attempt,
+                 bool passed = false);
   // A number never used for an attempt before.
-  uint64_t NewAttempt() { return next_attempt_++; }
+  uint64_t NewAttemptNumber() { return next_attempt_number_++; }
   // The attempt, if it is there and was not cleared; null otherwise.
-  TaskAttempt* AttemptOf(MachineIndex m, JobIndex j, uint32_t task, uint64_t attempt);
+  TaskAttempt* FindAttempt(MachineIndex m, JobIndex j, uint32_t task, uint64_t attempt);
   // Wants the slot gone.
-  void Unwant(MachineIndex m, TaskAttempt* slot, double grace_s);
-  void UnwantJob(JobIndex job);
+  void RequestStop(MachineIndex m, TaskAttempt* slot, double grace_s);
+  void RequestStopOfJob(JobIndex job);
   // What to tell the machine now. Launches only if `launch`.
-  std::vector<Command> Commands(MachineIndex m, bool launch);
+  std::vector<Command> BuildCommands(MachineIndex m, bool launch);
   // The stops alone, told before or not: an earlier one may be lost on its way.
-  std::vector<Command> Stops(MachineIndex m);
+  std::vector<Command> BuildStops(MachineIndex m);
   // Stops for what the report lists of jobs that are over, whoever started it.
-  std::vector<Command> StopsOfEnded(const Heartbeat& report) const;
+  std::vector<Command> BuildStopsOfEndedJobs(const Heartbeat& report) const;
   // True when there is something to tell it.
   bool HasCommands(MachineIndex m, bool launch) const;
   // An answer to a command is missing: what was sent may still come.
-  void Unanswered(MachineIndex m);
+  void FenceOffSentCommands(MachineIndex m);
   // Nothing is on it any more.
-  void LoseAll(MachineIndex m, const char* why);
-  void MarkGone(MachineIndex m, const char* why);
+  void ReleaseAttempts(MachineIndex m, const char* why);
+  void RemoveMachine(MachineIndex m, const char* why);
   // Machines that an earlier leader's tasks may be on, not accounted for yet.
-  uint32_t Unaccounted() const;
-  void Account(MachineIndex m);
+  uint32_t CountUnreconciled() const;
+  void MarkReconciled(MachineIndex m);
   // The lease surely ran out: whatever was on it was killed by the worker.
-  bool LeaseOver(const Machine& m, double now, double term_began) const;
+  bool IsLeaseExpired(const Machine& m, double now, double term_began) const;
 
   // What the tasks of each team take, by the team's index.
-  const std::vector<Use>& team_use() const { return team_use_; }
+  const std::vector<ResourceUsage>& team_usage() const { return team_usage_; }
   // Machines about which something changed: each is handed out once.
-  bool TakeChanged(MachineIndex* m);
+  bool PopChanged(MachineIndex* m);
   void MarkChanged(MachineIndex m);
   // The picture of every machine's room is out of date.
-  void AllStale();
+  void InvalidateAllCapacity();
 
   // A task ended; `slot.why` tells how. Called after the books were changed.
-  std::function<void(MachineIndex, const TaskAttempt&)> on_exit;
+  std::function<void(MachineIndex, const TaskAttempt&)> on_attempt_exited;
   // A machine that an earlier leader used is accounted for.
-  std::function<void()> on_accounted = [] {};
+  std::function<void()> on_machine_reconciled = [] {};
   // May be null.
   DisruptionObserver* observer = nullptr;
   // Something changed that the placer should look at.
-  bool changed = false;
+  bool placement_needed = false;
 
  private:
-  TaskAttempt* FindAttempt(Machine& m, const TaskStatus& t);
-  void Adopt(MachineIndex m, const TaskStatus& t);
-  void Apply(MachineIndex m, TaskAttempt* slot, const TaskStatus& t);
-  void Exited(MachineIndex m, TaskAttempt* slot);
-  void FreeTask(MachineIndex m, const TaskAttempt& slot);
-  void RecountRunning(TaskAttempt* slot, bool now_running);
-  bool MayForget(const TaskAttempt& slot) const;
+  TaskAttempt* FindReportedAttempt(Machine& m, const TaskStatus& t);
+  void AdoptAttempt(MachineIndex m, const TaskStatus& t);
+  void ApplyTaskStatus(MachineIndex m, TaskAttempt* slot, const TaskStatus& t);
+  void HandleExit(MachineIndex m, TaskAttempt* slot);
+  void RequeueTask(MachineIndex m, const TaskAttempt& slot);
+  void SetRunning(TaskAttempt* slot, bool now_running);
+  bool MayAcknowledgeExit(const TaskAttempt& slot) const;
   // What was not seen of a job that is done is not to be launched again.
-  void UnwantUnseen(JobIndex job);
+  void RequestStopOfUnreported(JobIndex job);
   TaskAttempt& AddAttempt(MachineIndex m, TaskAttempt slot);
   // The slot takes no room any more.
-  void Vacate(MachineIndex m, TaskAttempt* slot);
+  void ReleaseResources(MachineIndex m, TaskAttempt* slot);
   void EraseAttempt(MachineIndex m, size_t at);
-  Command StopOf(TaskAttempt* slot) const;
-  void Changed(MachineIndex m);
+  Command BuildStop(TaskAttempt* slot) const;
+  void InvalidateMachine(MachineIndex m);
   // Tells the observer that the attempt's condition changed, or that it was ended early.
-  void NoteChange(const TaskAttempt& slot);
-  void NoteEarlyEnd(const TaskAttempt& slot);
-  void BeganAnew(MachineIndex m, const Heartbeat& report);
+  void NotifyReplicaChanged(const TaskAttempt& slot);
+  void NotifyArrayTaskStopped(const TaskAttempt& slot);
+  void HandleAgentRestart(MachineIndex m, const Heartbeat& report);
 
   JobStore* job_store_;
   const Clock* clock_;
@@ -145,10 +150,10 @@
   FleetOptions options_;
   std::vector<Machine> machines_;
   std::vector<MachineIndex> active_;
-  std::deque<MachineIndex> touched_;
-  std::vector<Use> team_use_;
+  std::deque<MachineIndex> changed_machines_;
+  std::vector<ResourceUsage> team_usage_;
   std::unordered_map<std::string, MachineIndex> index_;
-  uint64_t next_attempt_;
+  uint64_t next_attempt_number_;
 };
 
 }  // namespace deckhall
--- /dev/null
+++ b/src/fleet/http_worker_client.h
@@ -0,0 +1,22 @@
+// Direct commands to workers over HTTP.
+#pragma once
+
+#include "fleet/worker_client.h"
+#include "net/http_client.h"
+
+namespace deckhall {
+
+class HttpWorkerClient : public WorkerClient {
+ public:
+  HttpWorkerClient(Loop* loop, size_t connections) : http_(loop, connections, 1 << 20) {}
+  void SendCommands(const std::string& endpoint, uint64_t token, uint64_t session,
+                    const std::vector<Command>& commands, double timeout_s, Done done) override;
+  void Probe(const std::string& endpoint, double timeout_s, Done done) override;
+  void Trim() { http_.Trim(30); }
+
+ private:
+  void Send(const std::string& endpoint, const HttpCall& call, Done done);
+  HttpClient http_;
+};
+
+}  // namespace deckhall
--- a/src/fleet/worker_client.h
+++ b/src/fleet/worker_client.h
@@ -1,22 +1,28 @@
-// Direct commands to workers over HTTP.
+// What the core asks of workers directly.
 #pragma once
 
-#include "fleet/worker_port.h"
-#include "net/http_client.h"
+#include <functional>
+#include <string>
+#include <vector>
+
+#include "wire/types.h"
 
 namespace deckhall {
 
-class WorkerClient : public WorkerPort {
- public:
-  WorkerClient(Loop* loop, size_t connections) : http_(loop, connections, 1 << 20) {}
-  void Do(const std::string& endpoint, uint64_t token, uint64_t session,
-          const std::vector<Command>& commands, double timeout_s, Done done) override;
-  void Inspect(const std::string& endpoint, double timeout_s, Done done) override;
-  void Trim() { http_.Trim(30); }
+struct WorkerResponse {
+  int status = 0;     // 0: no usable answer
+  bool sent = false;  // false: nothing can have reached the worker
+  bool has_heartbeat = false;
+  Heartbeat heartbeat;
+};
 
- private:
-  void Ask(const std::string& endpoint, const HttpCall& call, Done done);
-  HttpClient http_;
+class WorkerClient {
+ public:
+  using Done = std::function<void(WorkerResponse)>;
+  virtual ~WorkerClient() = default;
+  virtual void SendCommands(const std::string& endpoint, uint64_t token, uint64_t session,
+                            const std::vector<Command>& commands, double timeout_s, Done done) = 0;
+  virtual void Probe(const std::string& endpoint, double timeout_s, Done done) = 0;
 };
 
 }  // namespace deckhall
--- a/src/leader/election.h
+++ b/src/leader/election.h
@@ -16,9 +16,9 @@
 struct ElectionOptions {
   std::string label;
   uint64_t instance = 0;
-  int ttl_ms = 2500;
-  double renew_s = 0.5;
-  double drift = 0.002;  // of our clock against the state service's
+  int lease_ttl_ms = 2500;
+  double keep_alive_interval_s = 0.5;
+  double clock_drift = 0.002;  // of our clock against the state service's
 };
 
 class Election {
@@ -29,56 +29,56 @@
 
   void Tick();
   // Holds the key as far as it knows, though perhaps no longer by its clock.
-  bool holding() const { return stage_ == Stage::kHolding; }
+  bool HoldsKey() const { return stage_ == Stage::kLeading; }
   // Holds it surely, now.
-  bool Trusted() const { return holding() && clock_->Now() < trusted_until_; }
-  double trusted_until() const { return trusted_until_; }
+  bool IsLeaseValid() const { return HoldsKey() && clock_->Now() < lease_valid_until_; }
+  double lease_valid_until() const { return lease_valid_until_; }
   uint64_t term() const { return term_; }
   // The holder last seen, which may be gone by now; empty when there was none.
   const std::string& leader_label() const { return leader_label_; }
   uint64_t leader_term() const { return leader_term_; }
   // Who held it before us, as far as was seen.
-  const std::string& former_label() const { return former_label_; }
+  const std::string& former_leader_label() const { return former_leader_label_; }
 
   // A higher term exists, or a write met one: stop at once.
-  void Abdicate(const char* why);
+  void LoseLeadership(const char* why);
   // Others can lead better now: gives the lease back and lets them go first.
-  void StepDown(const char* why, double pause_s);
+  void Resign(const char* why, double pause_s);
 
-  std::function<void(uint64_t term)> on_won;
+  std::function<void(uint64_t term)> on_elected;
   // The state service showed that no term above this one has begun yet.
-  std::function<void(uint64_t bound)> on_known;
-  std::function<void()> on_lost;
+  std::function<void(uint64_t bound)> on_term_bound;
+  std::function<void()> on_leadership_lost;
 
  private:
-  enum class Stage { kLooking, kWatching, kGranting, kClaiming, kHolding };
+  enum class Stage { kReadingKey, kWatchingKey, kGrantingLease, kAcquiringKey, kLeading };
 
-  void Look();
-  void Seen(const KeyValueResponse& answer);
-  void Watch(uint64_t revision);
-  void RunForIt();
-  void Claim(uint64_t lease, double sent);
-  void Won(uint64_t term);
-  void Renew();
-  void Retry(double after_s);
+  void ReadLeaderKey();
+  void HandleLeaderKey(const KeyValueResponse& answer);
+  void WatchKey(uint64_t revision);
+  void Campaign();
+  void AcquireKey(uint64_t lease, double sent);
+  void BecomeLeader(uint64_t term);
+  void KeepAliveLease();
+  void RetryAfter(double after_s);
 
-  KeyValueStore* state_;
+  KeyValueStore* key_value_store_;
   const Clock* clock_;
   ElectionOptions options_;
   std::mt19937_64 random_;
-  Stage stage_ = Stage::kLooking;
-  bool busy_ = false;
-  int renewing_ = 0;
-  uint64_t epoch_ = 0;  // answers to what an earlier stage asked are dropped
-  uint64_t lease_ = 0;
+  Stage stage_ = Stage::kReadingKey;
+  bool call_in_flight_ = false;
+  int keep_alives_in_flight_ = 0;
+  uint64_t call_epoch_ = 0;  // answers to what an earlier stage asked are dropped
+  uint64_t lease_id_ = 0;
   uint64_t term_ = 0;
   uint64_t leader_term_ = 0;
   std::string leader_label_;
-  std::string former_label_;
-  double trusted_until_ = -1;
-  double granted_at_ = 0;
-  double next_ = 0;
-  double not_before_ = -1;  // runs for it no sooner
+  std::string former_leader_label_;
+  double lease_valid_until_ = -1;
+  double lease_requested_at_ = 0;
+  double next_action_at_ = 0;
+  double campaign_not_before_ = -1;  // runs for it no sooner
 };
 
 }  // namespace deckhall
--- a/src/leader/free_capacity.cc
+++ b/src/leader/free_capacity.cc
@@ -40,14 +40,14 @@
   // Reports alone are no proof that it hears: a machine whose commands get lost
   // would be given tasks again and again.
   return m.up && m.reconciled && !m.removed && !m.unschedulable && !m.cordoned && !m.partitioned &&
-         m.unrenewed_since_wall < 0 && !m.scaling_in && m.preemption_at < 0 && Fleet::Hears(m) &&
-         m.unreachable_count < 2 && m.record_id != kNoRecord && !m.endpoint.empty() &&
-         record_store_->IsDurable(m.record_id) && now >= m.quarantined_until &&
-         now >= m.no_room_until && HeardLately(m);
+         m.unrenewed_since_wall < 0 && !m.scaling_in && m.preemption_at < 0 &&
+         Fleet::HasAcknowledgedToken(m) && m.unreachable_count < 2 && m.record_id != kNoRecord &&
+         !m.endpoint.empty() && record_store_->IsDurable(m.record_id) &&
+         now >= m.quarantined_until && now >= m.no_room_until && HeardLately(m);
 }
 
 bool FreeCapacity::HeardLately(const Machine& m) const {
-  const double most = std::max(tuning_->silent_s, settings_->report_s * 1.6);
+  const double most = std::max(tuning_->silent_after_s, settings_->heartbeat_interval_s * 1.6);
   return clock_->Now() - m.last_heard_at < most;
 }
 
@@ -178,9 +178,9 @@
 }
 
 void FreeCapacity::CountUse() {
-  use_ = fleet_->team_use();
+  use_ = fleet_->team_usage();
   use_.resize(job_store_->teams.size());
-  Use hidden;
+  ResourceUsage hidden;
   bool any_hidden = false;
   for (MachineIndex mi : fleet_->active()) {
     const Machine& m = (*fleet_)[mi];
@@ -192,7 +192,7 @@
   }
   if (!any_hidden) return;
   // Tasks that may be on machines not accounted for count against their team.
-  std::vector<Use> unseen(job_store_->teams.size());
+  std::vector<ResourceUsage> unseen(job_store_->teams.size());
   auto add = [this, &unseen](const std::vector<JobIndex>& list) {
     for (JobIndex j : list) {
       const Job& job = (*job_store_)[j];
@@ -212,7 +212,7 @@
 bool FreeCapacity::TeamRoom(const Job& job, size_t tasks) const {
   const Team* team = TeamOf(job.team);
   if (team == nullptr) return false;
-  const Use& use = use_[job.team];
+  const ResourceUsage& use = use_[job.team];
   const auto count = static_cast<double>(tasks);
   const double cores = use.cores + count * job.spec.cores;
   if (team->cores_max > 0 && cores > team->cores_max + kEps) return false;
--- a/src/leader/free_capacity.h
+++ b/src/leader/free_capacity.h
@@ -6,9 +6,9 @@
 #include <utility>
 #include <vector>
 
-#include "app/settings.h"
-#include "app/tuning.h"
 #include "cloud/rentals.h"
+#include "config/settings.h"
+#include "config/tuning.h"
 #include "fleet/fleet.h"
 #include "sched/placement.h"
 
@@ -32,7 +32,7 @@
   bool TeamRoom(const Job& job, size_t tasks = 1) const;
   // Cores the team may still use, a large number without a limit.
   double TeamLeft(uint32_t team) const;
-  const Use& UseOf(uint32_t team) const { return use_[team]; }
+  const ResourceUsage& UseOf(uint32_t team) const { return use_[team]; }
   // What a task of the job needs; the vectors must outlive it.
   Need NeedOf(const Job& job, const std::vector<char>& zones,
               const std::vector<uint32_t>& siblings) const;
@@ -86,7 +86,7 @@
   const Settings* settings_;
   const Tuning* tuning_;
   std::vector<Node> nodes_;
-  std::vector<Use> use_;
+  std::vector<ResourceUsage> use_;
   std::vector<const Team*> teams_;  // by team index
   std::vector<char> cut_;
   std::unordered_map<MachineIndex, Amounts> held_;
--- a/src/leader/gang_keeper.cc
+++ b/src/leader/gang_keeper.cc
@@ -68,11 +68,11 @@
   size_t stopped = 0;
   ForEach(j, [this, grace_s, &stopped](MachineIndex mi, TaskAttempt* slot) {
     if (!slot->wanted) return;
-    fleet_->Unwant(mi, slot, grace_s);
+    fleet_->RequestStop(mi, slot, grace_s);
     ++stopped;
   });
   if (stopped == 0) return;
-  fleet_->changed = true;
+  fleet_->placement_needed = true;
   spdlog::info("stopping {} tasks of gang {}: {}", stopped, (*job_store_)[j].id, why);
 }
 
@@ -95,7 +95,7 @@
   job.gang_started = job.gang_started || attempt.started;
   ForEach(j, [this, &attempt](MachineIndex mi, TaskAttempt* slot) {
     // What is left of an attempt before never comes together again.
-    if (slot->wanted && slot->number != attempt.number) fleet_->Unwant(mi, slot, 0);
+    if (slot->wanted && slot->number != attempt.number) fleet_->RequestStop(mi, slot, 0);
   });
   if (attempt.saving) {
     // A stop that an earlier leader did not finish: all tasks must be told soon.
@@ -117,7 +117,7 @@
 
 bool GangKeeper::Saves(const JobSpec& spec) const {
   return spec.checkpoint_interval_s > 0 &&
-         spec.checkpoint_grace_s + kSaveMargin <= settings_->gang_peer_s;
+         spec.checkpoint_grace_s + kSaveMargin <= settings_->gang_loss_detection_s;
 }
 
 void GangKeeper::StopWhole(JobIndex j, const char* why) {
@@ -131,7 +131,7 @@
   const Attempt attempt = Look(j);
   if (!job.gang_started) {
     // It is replaced while the others gather.
-    fleet_->Unwant(mi, slot, 0);
+    fleet_->RequestStop(mi, slot, 0);
     return;
   }
   const double sure = seconds_left * kSurePartOfNotice;
--- a/src/leader/gang_keeper.h
+++ b/src/leader/gang_keeper.h
@@ -6,7 +6,7 @@
 #include <functional>
 #include <vector>
 
-#include "app/settings.h"
+#include "config/settings.h"
 #include "fleet/fleet.h"
 #include "leader/ranking.h"
 
--- a/src/leader/gang_placer.cc
+++ b/src/leader/gang_placer.cc
@@ -90,7 +90,7 @@
 
 void GangPlacer::Put(JobIndex j, uint32_t node) {
   Job& job = (*job_store_)[j];
-  fleet_->Place(node, j, job.waiting_tasks.back(), job.gang_attempt);
+  fleet_->PlaceTask(node, j, job.waiting_tasks.back(), job.gang_attempt);
   free_capacity_->Take(job, node);
   (*fleet_)[node].idle_since = -1;
 }
@@ -116,7 +116,7 @@
   }
   if (best.last_start > tuning_->gang_long_fetch_s && MakeRoomAtImage(j, best, zone_sets)) return;
   // Its tasks find each other by their attempt: one number for all of them.
-  job.gang_attempt = fleet_->NewAttempt();
+  job.gang_attempt = fleet_->NewAttemptNumber();
   job.gang_waiting_since = clock_->Now();
   job.gang_started = job.gang_broken = false;
   for (uint32_t node : best.nodes) Put(j, node);
@@ -133,7 +133,7 @@
   Preemption::Request request;
   request.job = j;
   request.image_here = true;
-  request.most_loss = tuning_->stop_for_image * otherwise.last_start * job.spec.cores;
+  request.most_loss = tuning_->preempt_for_image * otherwise.last_start * job.spec.cores;
   const std::vector<MachineIndex> machines = preemption_->MakeGangRoom(request, zone_sets);
   for (MachineIndex mi : machines) free_capacity_->nodes()[mi].usable = false;
   return !machines.empty();
--- a/src/leader/leader_machines.cc
+++ b/src/leader/leader_machines.cc
@@ -9,140 +9,140 @@
 namespace deckhall {
 namespace {
 
-constexpr double kDoTimeout = 1.5;
-constexpr double kProbeTimeout = 0.7;
+constexpr double kCommandTimeoutSeconds = 1.5;
+constexpr double kProbeTimeoutSeconds = 0.7;
 // With a larger part of the fleet silent or deaf at once, the trouble is rather on
 // the way or here.
-constexpr double kFewOfFleet = 0.08;
-constexpr double kFewDeaf = 0.02;
-constexpr size_t kFewAtLeast = 2;
-constexpr double kManyOfFleet = 0.3;
-constexpr double kMostOfFleet = 0.5;
-constexpr size_t kFleetToJudge = 6;
+constexpr double kQuickDeathShare = 0.08;
+constexpr double kOneWayShare = 0.02;
+constexpr size_t kMinToleratedMachines = 2;
+constexpr double kManySilentShare = 0.3;
+constexpr double kMostOfFleetShare = 0.5;
+constexpr size_t kMinFleetToJudge = 6;
 // Of the questions of the last second: with hardly an answer among so many, the way is
 // lost, however few of a large fleet could be asked yet.
-constexpr double kQuestionsDecay = 0.5;
-constexpr double kQuestionsToJudge = 12;
-constexpr double kFewAnswersShare = 0.1;
+constexpr double kProbeCountDecay = 0.5;
+constexpr double kMinProbesToJudge = 12;
+constexpr double kFewResponsesShare = 0.1;
 // The same, with no answer at all for so long.
-constexpr double kNoAnswerFor = 1;
+constexpr double kNoResponseSeconds = 1;
 // A machine behind a cut is given up after so many leases: its tasks are gone after
 // the first, but the machine itself is soon back with its images.
-constexpr double kCutLeases = 3;
+constexpr double kPartitionLeases = 3;
 
 // A service that runs, and of which nothing failed for so long, is in order: its replicas
 // do not complete, so no success tells it.
-constexpr double kProvenAfter = 30;
+constexpr double kProvenAfterSeconds = 30;
 
 // Between two questions to a machine that does not answer, at the most.
-constexpr double kLongestProbePause = 4;
+constexpr double kMaxProbeBackoffSeconds = 4;
 
 // While machines are being lost, the others are asked after so much more often.
-constexpr double kFasterProbes = 3;
-constexpr double kFasterProbesFor = 3;
+constexpr double kFasterProbeFactor = 3;
+constexpr double kFasterProbeSeconds = 3;
 
 }  // namespace
 
-void Leader::RejectReport(const std::string& machine, const char* why) {
-  ++implausible_reports_;
+void Leader::LogImplausibleHeartbeat(const std::string& machine, const char* why) {
+  ++implausible_heartbeats_;
   const double now = ports_.clock->Now();
   if (now - implausible_logged_at_ < 1) return;
   implausible_logged_at_ = now;
   spdlog::warn("machine {}: {}; ignored ({} such messages so far)", machine, why,
-               implausible_reports_);
+               implausible_heartbeats_);
 }
 
-bool Leader::Plausible(const Heartbeat& r) {
+bool Leader::IsPlausible(const Heartbeat& r) {
   if (TermOf(r.fencing_token) > term_) {
     // While our lease is trusted nobody can have begun a later term, so no
     // controller gave that token. Without it, somebody may have.
-    if (ports_.lease->Trusted()) {
-      RejectReport(r.machine, "has a token that no controller gave");
-    } else if (on_deposed) {
-      on_deposed("a worker has seen a higher token");
+    if (ports_.lease->IsLeaseValid()) {
+      LogImplausibleHeartbeat(r.machine, "has a token that no controller gave");
+    } else if (on_leadership_lost) {
+      on_leadership_lost("a worker has seen a higher token");
     }
     return false;
   }
   const MachineIndex mi = fleet_.Find(r.machine);
   if (mi == kNoIndex) return true;
   const Machine& m = fleet_[mi];
-  if (m.type != kNoIndex && (book_.types.Find(r.type) != m.type || m.spot != r.spot ||
-                             book_.zones.Find(r.zone) != m.zone)) {
-    RejectReport(r.machine, "says it is of another type, zone or kind");
+  if (m.type != kNoIndex && (job_store_.types.Find(r.type) != m.type || m.spot != r.spot ||
+                             job_store_.zones.Find(r.zone) != m.zone)) {
+    LogImplausibleHeartbeat(r.machine, "says it is of another type, zone or kind");
     return false;
   }
   return true;
 }
 
-HeartbeatResponse Leader::OnReport(const Heartbeat& r) {
+HeartbeatResponse Leader::HandleHeartbeat(const Heartbeat& r) {
   HeartbeatResponse reply;
   const double now = ports_.clock->Now();
-  if (!Plausible(r)) {
+  if (!IsPlausible(r)) {
     reply.status = 421;
     return reply;
   }
-  const bool trusted = ports_.lease->Trusted();
-  if (!loaded_ || (!trusted && now > GraceUntil())) return reply;
+  const bool trusted = ports_.lease->IsLeaseValid();
+  if (!loaded_ || (!trusted && now > HeartbeatGraceEnd())) return reply;
   MachineIndex mi = fleet_.Find(r.machine);
   if (mi == kNoIndex) {
     if (!trusted) return reply;
-    mi = rentals_.Unexpected(r);
+    mi = provisioner_.Unexpected(r);
   }
   // A late copy from a machine that is gone.
   if (fleet_[mi].removed) return reply;
-  if (!TakenBack(mi)) {
-    if (trusted) TakeBack(fleet_[mi].zone);
+  if (!HasNoLeaseExpiryBound(mi)) {
+    if (trusted) WithdrawLeaseExpiryBounds(fleet_[mi].zone);
     return reply;
   }
-  const bool fresh = fleet_.Process(mi, r);
+  const bool fresh = fleet_.ApplyHeartbeat(mi, r);
   Machine& m = fleet_[mi];
   reply.status = 200;
   reply.fencing_token = m.fencing_token;
   if (!fresh) {
     // Overtaken by an answer to a command, or a late copy: it renews nothing here,
     // and gets no commands.
-    if (m.suspected) RejectReport(r.machine, "sent an old report");
+    if (m.suspected) LogImplausibleHeartbeat(r.machine, "sent an old report");
     // To the worker it may be an answer that renews its lease all the same.
-    reply.commands = fleet_.StopsOfEnded(r);
+    reply.commands = fleet_.BuildStopsOfEndedJobs(r);
     return reply;
   }
   if (m.endpoint != r.endpoint) {
     m.endpoint = r.endpoint;
     if (m.record_id != kNoRecord || m.registered)
-      rentals_.SaveMachine(mi, WritePriority::kDeferred);
+      provisioner_.SaveMachine(mi, WritePriority::kDeferred);
   }
   if (!m.reconciled) {
     // Nothing is adopted before it has shown this term's token. But this answer renews
     // its lease, perhaps the last one before this leader ends: what was cancelled must
     // not live on by it.
-    reply.commands = fleet_.StopsOfEnded(r);
+    reply.commands = fleet_.BuildStopsOfEndedJobs(r);
     m.lease_renewed_at = now;
     return reply;
   }
   // Nobody named it before: kept once it has shown that it hears us. A late copy's
   // ghost never does.
-  if (m.record_id == kNoRecord && Fleet::Hears(m))
-    rentals_.SaveMachine(mi, WritePriority::kDeferred);
+  if (m.record_id == kNoRecord && Fleet::HasAcknowledgedToken(m))
+    provisioner_.SaveMachine(mi, WritePriority::kDeferred);
   if (m.command_in_flight || m.scaling_in) {
     // What was sent straight may be lost on its way, again and again while the way is
     // blocked, and the cloud may be out: stops go with every report, or a cancelled
     // task could outlive its time.
-    reply.commands = fleet_.Stops(mi);
+    reply.commands = fleet_.BuildStops(mi);
   } else {
     // Stops and clears need no lease; launches do.
-    reply.commands = fleet_.Commands(mi, trusted);
+    reply.commands = fleet_.BuildCommands(mi, trusted);
     reply.fencing_token = m.fencing_token;
   }
   m.lease_renewed_at = now;
   return reply;
 }
 
-void Leader::TaskEnded(MachineIndex mi, const TaskAttempt& slot) {
+void Leader::HandleAttemptExit(MachineIndex mi, const TaskAttempt& slot) {
   Machine& m = fleet_[mi];
   const double now = ports_.clock->Now();
   if (slot.job == kNoIndex) return;
-  Job& job = book_[slot.job];
-  gangs_.TaskEnded(slot);
+  Job& job = job_store_[slot.job];
+  gang_supervisor_.TaskEnded(slot);
   switch (slot.exit_reason) {
     case ExitReason::kDone:
       m.task_failures = 0;
@@ -163,7 +163,7 @@
                    slot.exit_reason == ExitReason::kInUse ? "in use" : "unknown");
       break;
     case ExitReason::kError:
-      TaskFailed(mi, slot);
+      RecordTaskFailure(mi, slot);
       break;
     case ExitReason::kGangMemberLost:
     case ExitReason::kGangIncomplete:
@@ -175,9 +175,9 @@
 }
 
 // Either the job or the machine is at fault; where else the job failed tells which.
-void Leader::TaskFailed(MachineIndex mi, const TaskAttempt& slot) {
+void Leader::RecordTaskFailure(MachineIndex mi, const TaskAttempt& slot) {
   Machine& m = fleet_[mi];
-  Job& job = book_[slot.job];
+  Job& job = job_store_[slot.job];
   const double now = ports_.clock->Now();
   ++job.consecutive_failures;
   job.last_failure_at = now;
@@ -202,7 +202,7 @@
   }
 }
 
-void Leader::ReleaseUnseen() {
+void Leader::ReleaseUnreconciledTasks() {
   // A task not seen anywhere is free once no machine is left that it could be on.
   // Machines of one type, zone and kind are alike in this.
   std::vector<MachineIndex> kinds;
@@ -216,74 +216,77 @@
   }
   auto look = [this, &kinds](const std::vector<JobIndex>& list) {
     for (JobIndex j : list) {
-      Job& job = book_[j];
+      Job& job = job_store_[j];
       if (!job.has_spec || job.tasks_unreconciled == 0) continue;
       const bool possible = std::any_of(kinds.begin(), kinds.end(), [this, &job](MachineIndex k) {
         return FreeCapacity::MayBeOn(job, fleet_[k]);
       });
       if (possible) continue;
-      for (uint32_t t = 0; t < job.tasks.size(); ++t) book_.ReleaseUnreconciledTask(j, t);
-      fleet_.changed = true;
+      for (uint32_t t = 0; t < job.tasks.size(); ++t) job_store_.ReleaseUnreconciledTask(j, t);
+      fleet_.placement_needed = true;
     }
   };
-  look(book_.active_jobs());
-  look(book_.ended_jobs());
+  look(job_store_.active_jobs());
+  look(job_store_.ended_jobs());
 }
 
-void Leader::Direct(MachineIndex mi) {
+void Leader::PushCommands(MachineIndex mi) {
   Machine& m = fleet_[mi];
-  ++looked_at_;
+  ++examined_;
   // Answers come at any time, also past the lease: nothing is launched then.
-  if (!ports_.lease->Trusted()) return;
+  if (!ports_.lease->IsLeaseValid()) return;
   const double now = ports_.clock->Now();
   if (m.command_in_flight || m.removed || m.scaling_in || m.endpoint.empty() ||
       now < m.command_backoff_until)
     return;
   const bool greet = !m.reconciled && (m.may_run_former_attempts || m.up);
   // A launch there could outlive what was said of its lease.
-  const bool launch = TakenBack(mi);
+  const bool launch = HasNoLeaseExpiryBound(mi);
   if (!greet && (!m.up || !fleet_.HasCommands(mi, launch))) return;
-  std::vector<Command> commands = fleet_.Commands(mi, launch);
-  if (commands.empty() && !greet && Fleet::Hears(m)) return;
+  std::vector<Command> commands = fleet_.BuildCommands(mi, launch);
+  if (commands.empty() && !greet && Fleet::HasAcknowledgedToken(m)) return;
   m.command_in_flight = true;
-  direct_.Take(now, 1, -1e9);
-  const Stamp asked = fleet_.StampOf(mi);
-  ports_.workers->Do(m.endpoint, m.fencing_token, m.agent_epoch, commands, kDoTimeout,
-                     [this, mi, asked](const WorkerAnswer& answer) {
-                       if (!retired_) DirectDone(mi, answer, asked);
-                     });
+  command_budget_.Take(now, 1, -1e9);
+  const HeartbeatVersion asked = fleet_.VersionOf(mi);
+  ports_.workers->SendCommands(m.endpoint, m.fencing_token, m.agent_epoch, commands,
+                               kCommandTimeoutSeconds,
+                               [this, mi, asked](const WorkerResponse& answer) {
+                                 if (!retired_) HandleCommandResponse(mi, answer, asked);
+                               });
 }
 
-void Leader::DirectDone(MachineIndex mi, const WorkerAnswer& answer, Stamp asked) {
+void Leader::HandleCommandResponse(MachineIndex mi, const WorkerResponse& answer,
+                                   HeartbeatVersion asked) {
   Machine& m = fleet_[mi];
   const double now = ports_.clock->Now();
   m.command_in_flight = false;
   if (m.removed) return;
-  const bool named = answer.has_report && answer.report.machine == m.name;
-  Counted(m, named);
+  const bool named = answer.has_heartbeat && answer.heartbeat.machine == m.name;
+  RecordProbeOutcome(m, named);
   if (!named) {
     ++m.command_failures;
     m.command_backoff_until =
         now + std::min(4.0, 0.25 * std::pow(2.0, std::min(m.command_failures, 6)));
-    fleet_.ProbeFailed(mi);
-    if (answer.has_report) RejectReport(m.name, "is not who answers at its address");
-    if (answer.sent) fleet_.Unanswered(mi);
+    fleet_.RecordUnreachable(mi);
+    if (answer.has_heartbeat) LogImplausibleHeartbeat(m.name, "is not who answers at its address");
+    if (answer.sent) fleet_.FenceOffSentCommands(mi);
     return;
   }
-  if (!Plausible(answer.report)) {
+  if (!IsPlausible(answer.heartbeat)) {
     // Given up on when it stays so.
     m.command_backoff_until = now + 4;
-    fleet_.ProbeFailed(mi);
+    fleet_.RecordUnreachable(mi);
     return;
   }
   m.command_failures = 0;
   if (answer.status == 409) m.command_backoff_until = now + 0.2;
-  fleet_.Answered(mi, answer.report, asked);
-  if (m.record_id == kNoRecord && m.reconciled) rentals_.SaveMachine(mi, WritePriority::kDeferred);
-  Direct(mi);
+  fleet_.ApplyProbeResponse(mi, answer.heartbeat, asked);
+  if (m.record_id == kNoRecord && m.reconciled)
+    provisioner_.SaveMachine(mi, WritePriority::kDeferred);
+  PushCommands(mi);
 }
 
-void Leader::Probe(MachineIndex mi, bool urgent) {
+void Leader::ProbeMachine(MachineIndex mi, bool urgent) {
   Machine& m = fleet_[mi];
   const double now = ports_.clock->Now();
   if (m.probe_in_flight || m.command_in_flight || m.endpoint.empty() || now < m.probe_backoff_until)
@@ -291,190 +294,197 @@
   // Half of the budget is kept for machines that are overdue.
   const double reserve =
       urgent ? 0 : MessagesPerSecond(*settings_, *tuning_) * tuning_->probe_share;
-  if (!probes_.Take(now, 1, reserve)) return;
+  if (!probe_budget_.Take(now, 1, reserve)) return;
   m.probe_in_flight = true;
-  const Stamp asked = fleet_.StampOf(mi);
-  ports_.workers->Inspect(m.endpoint, kProbeTimeout, [this, mi, asked](const WorkerAnswer& a) {
-    if (retired_) return;
-    Machine& machine = fleet_[mi];
-    machine.probe_in_flight = false;
-    if (machine.removed) return;
-    Counted(machine, a.has_report);
-    if (!a.has_report || a.report.machine != machine.name || !Plausible(a.report)) {
-      ++machine.probe_failures;
-      // Those known to be silent must not take the whole budget.
-      machine.probe_backoff_until =
-          ports_.clock->Now() +
-          std::min(kLongestProbePause,
-                   0.1 * std::pow(2.0, std::min(machine.unreachable_count, 6) - 1));
-      fleet_.ProbeFailed(mi);
-      return;
-    }
-    fleet_.Answered(mi, a.report, asked);
-  });
+  const HeartbeatVersion asked = fleet_.VersionOf(mi);
+  ports_.workers->Probe(
+      m.endpoint, kProbeTimeoutSeconds, [this, mi, asked](const WorkerResponse& a) {
+        if (retired_) return;
+        Machine& machine = fleet_[mi];
+        machine.probe_in_flight = false;
+        if (machine.removed) return;
+        RecordProbeOutcome(machine, a.has_heartbeat);
+        if (!a.has_heartbeat || a.heartbeat.machine != machine.name || !IsPlausible(a.heartbeat)) {
+          ++machine.probe_failures;
+          // Those known to be silent must not take the whole budget.
+          machine.probe_backoff_until =
+              ports_.clock->Now() +
+              std::min(kMaxProbeBackoffSeconds,
+                       0.1 * std::pow(2.0, std::min(machine.unreachable_count, 6) - 1));
+          fleet_.RecordUnreachable(mi);
+          return;
+        }
+        fleet_.ApplyProbeResponse(mi, a.heartbeat, asked);
+      });
 }
 
-void Leader::Lost(MachineIndex mi) {
+void Leader::GiveUpIfDead(MachineIndex mi) {
   Machine& m = fleet_[mi];
   const double now = ports_.clock->Now();
   const bool waited_for = m.may_run_former_attempts && !m.reconciled;
-  const double silent = now - std::max(m.last_heard_at, began_);
+  const double silent = now - std::max(m.last_heard_at, term_began_at_);
   // Behind a cut its tasks run on until its lease ends; returning it sooner would end
   // them before there is room elsewhere. What a former leader inside the cut answers
   // lives longer still; other former leaders' machines block what may be on them.
   const bool answered_inside = m.zone != kNoIndex && !ports_.former_leader_zone.empty() &&
-                               book_.zones[m.zone] == ports_.former_leader_zone;
+                               job_store_.zones[m.zone] == ports_.former_leader_zone;
   if (m.partitioned && (!waited_for || answered_inside || m.unrenewed_since_wall >= 0)) {
-    if (silent > settings_->lease_s * kCutLeases && !waited_for) {
-      rentals_.Return(mi, "silent behind a cut");
+    if (silent > settings_->lease_s * kPartitionLeases && !waited_for) {
+      provisioner_.Return(mi, "silent behind a cut");
     }
     return;
   }
-  double limit = waited_for                ? tuning_->takeover_wait_s
-                 : silent_machines_ > few_ ? tuning_->lost_s
-                                           : tuning_->quick_lost_s;
+  double limit = waited_for                             ? tuning_->failover_wait_s
+                 : silent_machines_ > max_quick_deaths_ ? tuning_->death_s
+                                                        : tuning_->quick_death_s;
   // Behind a cut its worker first has to find another node, and probes from here
   // say nothing: returning it would kill what runs well.
-  const bool behind_cut = BehindCut(m);
+  const bool behind_cut = IsZoneSuspected(m);
   // So does losing the way to the workers ourselves: those that reported here need
   // two timeouts to find another node.
   // A few machines that a new leader waits for hold up all that may be on them.
-  const bool few_waited_for = waited_for && waited_for_ <= few_;
+  const bool few_waited_for = waited_for && unreconciled_machines_ <= max_quick_deaths_;
   if ((behind_cut && !few_waited_for) || many_silent_)
-    limit = std::max(limit, tuning_->lost_behind_cut_s);
+    limit = std::max(limit, tuning_->partition_death_s);
   if (silent > limit && m.probe_failures >= 2) {
     // Returning it ends whatever it still holds: sooner than its lease would.
-    rentals_.Return(mi, "silent");
-    lost_at_ = now;
+    provisioner_.Return(mi, "silent");
+    last_death_at_ = now;
     return;
   }
   // It reports, but nothing of ours reaches it: its tasks would die with its lease.
   // Many such at once are rather a fault of the way, or of ourselves.
-  limit = behind_cut ? std::max(tuning_->deaf_s, tuning_->lost_behind_cut_s) : tuning_->deaf_s;
+  limit = behind_cut ? std::max(tuning_->one_way_death_s, tuning_->partition_death_s)
+                     : tuning_->one_way_death_s;
   if (m.unreachable_since >= 0 && m.unreachable_count >= 3 && now - m.unreachable_since > limit &&
-      m.last_heard_at > m.unreachable_since && deaf_machines_ <= few_deaf_) {
-    rentals_.Return(mi, "deaf: it reports, but nothing reaches it");
+      m.last_heard_at > m.unreachable_since && one_way_machines_ <= max_one_way_machines_) {
+    provisioner_.Return(mi, "deaf: it reports, but nothing reaches it");
   }
 }
 
-void Leader::Watch(MachineIndex mi) {
+void Leader::CheckMachine(MachineIndex mi) {
   Machine& m = fleet_[mi];
   const double now = ports_.clock->Now();
   const bool waited_for = m.may_run_former_attempts && !m.reconciled;
   if (!m.up && !waited_for) return;
   // Also while its return waits for the cloud.
-  if (!m.attempts.empty() && m.reconciled && fleet_.LeaseOver(m, now, began_)) {
-    fleet_.LoseAll(mi, "its lease ran out");
+  if (!m.attempts.empty() && m.reconciled && fleet_.IsLeaseExpired(m, now, term_began_at_)) {
+    fleet_.ReleaseAttempts(mi, "its lease ran out");
   }
-  if (waited_for && fleet_.LeaseOver(m, now, began_)) {
+  if (waited_for && fleet_.IsLeaseExpired(m, now, term_began_at_)) {
     spdlog::info("machine {}: its lease under the former leader surely ran out", m.name);
-    fleet_.Account(mi);
+    fleet_.MarkReconciled(mi);
   }
   if (m.scaling_in) return;
   // What is wanted there and could not be told, or must be told again.
   if (now >= m.command_backoff_until && (!m.reconciled || fleet_.HasCommands(mi, true)))
     fleet_.MarkChanged(mi);
-  const double silent = now - std::max(m.last_heard_at, began_);
-  const double overdue = OverdueSeconds(*settings_);
-  const double often = m.active_attempts > 0 ? probe_every_ : std::max(tuning_->silent_s, overdue);
+  const double silent = now - std::max(m.last_heard_at, term_began_at_);
+  const double overdue = HeartbeatOverdueSeconds(*settings_);
+  const double often =
+      m.active_attempts > 0 ? probe_interval_s_ : std::max(tuning_->silent_after_s, overdue);
   const bool urgent = m.suspected || m.unreachable_since >= 0 || silent > overdue;
   // Reports alone don't show that it hears. Asked in time, it can be given up before
   // its lease ends what runs there.
   const bool unproven =
       m.active_attempts > 0 && now - m.last_acknowledged_at > settings_->lease_s / 3;
   if (!urgent && !unproven && silent < std::min(often, overdue)) return;
-  Lost(mi);
-  if (!m.scaling_in) Probe(mi, urgent);
+  GiveUpIfDead(mi);
+  if (!m.scaling_in) ProbeMachine(mi, urgent);
 }
 
-void Leader::Sweep() {
+void Leader::CheckLiveness() {
   const double now = ports_.clock->Now();
-  FindCuts();
+  DetectPartitions();
   size_t up = 0;
   size_t busy = 0;
-  silent_machines_ = deaf_machines_ = waited_for_ = 0;
+  silent_machines_ = one_way_machines_ = unreconciled_machines_ = 0;
   for (MachineIndex mi : fleet_.active()) {
     const Machine& m = fleet_[mi];
-    if (m.may_run_former_attempts && !m.reconciled) ++waited_for_;
+    if (m.may_run_former_attempts && !m.reconciled) ++unreconciled_machines_;
     if (m.scaling_in || !m.up) continue;
     ++up;
     if (m.active_attempts > 0) ++busy;
     if (m.probe_failures > 0) ++silent_machines_;
-    if (m.unreachable_since >= 0 && m.unreachable_count >= 2) ++deaf_machines_;
+    if (m.unreachable_since >= 0 && m.unreachable_count >= 2) ++one_way_machines_;
   }
-  looked_at_ += fleet_.active().size();
+  examined_ += fleet_.active().size();
   const auto fleet = static_cast<double>(up);
-  answered_ *= kQuestionsDecay;
-  unanswered_ *= kQuestionsDecay;
-  const bool hardly_any =
-      unanswered_ > kQuestionsToJudge && answered_ < unanswered_ * kFewAnswersShare;
-  const bool none = in_a_row_ > kQuestionsToJudge && now - last_answer_ > kNoAnswerFor;
-  const bool way_lost = up >= kFleetToJudge && (hardly_any || none);
+  recent_responses_ *= kProbeCountDecay;
+  recent_timeouts_ *= kProbeCountDecay;
+  const bool hardly_any = recent_timeouts_ > kMinProbesToJudge &&
+                          recent_responses_ < recent_timeouts_ * kFewResponsesShare;
+  const bool none =
+      timeouts_in_a_row_ > kMinProbesToJudge && now - last_response_at_ > kNoResponseSeconds;
+  const bool way_lost = up >= kMinFleetToJudge && (hardly_any || none);
   // Most of a former leader's machines not heard yet: they may all be deaf, or the way is
   // blocked, and their reports come later than what a few are given.
-  const auto waited_for = static_cast<double>(waited_for_);
-  const bool most_waited_for =
-      waited_for_ >= kFleetToJudge && waited_for > (waited_for + fleet) * kMostOfFleet;
+  const auto waited_for = static_cast<double>(unreconciled_machines_);
+  const bool most_waited_for = unreconciled_machines_ >= kMinFleetToJudge &&
+                               waited_for > (waited_for + fleet) * kMostOfFleetShare;
   many_silent_ =
       way_lost || most_waited_for ||
-      (up >= kFleetToJudge && static_cast<double>(silent_machines_) > fleet * kManyOfFleet);
-  const bool unreached = way_lost || (up >= kFleetToJudge &&
-                                      static_cast<double>(deaf_machines_) > fleet * kMostOfFleet);
+      (up >= kMinFleetToJudge && static_cast<double>(silent_machines_) > fleet * kManySilentShare);
+  const bool unreached =
+      way_lost || (up >= kMinFleetToJudge &&
+                   static_cast<double>(one_way_machines_) > fleet * kMostOfFleetShare);
   if (!unreached) {
-    unreached_since_ = -1;
-  } else if (unreached_since_ < 0) {
-    unreached_since_ = now;
+    unreachable_since_ = -1;
+  } else if (unreachable_since_ < 0) {
+    unreachable_since_ = now;
     spdlog::warn("hardly a machine answers of late ({} of {} known to be out of reach)",
-                 deaf_machines_, up);
+                 one_way_machines_, up);
   }
-  few_ = std::max(kFewAtLeast, static_cast<size_t>(static_cast<double>(up) * kFewOfFleet));
-  few_deaf_ = std::max(kFewAtLeast, static_cast<size_t>(fleet * kFewDeaf));
+  max_quick_deaths_ = std::max(kMinToleratedMachines,
+                               static_cast<size_t>(static_cast<double>(up) * kQuickDeathShare));
+  max_one_way_machines_ =
+      std::max(kMinToleratedMachines, static_cast<size_t>(fleet * kOneWayShare));
   // As often as the budget allows, and rather while machines are being lost.
   const double rate = MessagesPerSecond(*settings_, *tuning_) * tuning_->probe_share;
-  probe_every_ = static_cast<double>(busy) / rate;
-  if (now - lost_at_ < kFasterProbesFor) probe_every_ /= kFasterProbes;
-  probe_every_ = std::max(tuning_->probe_s, probe_every_);
+  probe_interval_s_ = static_cast<double>(busy) / rate;
+  if (now - last_death_at_ < kFasterProbeSeconds) probe_interval_s_ /= kFasterProbeFactor;
+  probe_interval_s_ = std::max(tuning_->probe_interval_s, probe_interval_s_);
   for (MachineIndex mi : fleet_.active()) {
-    Watch(mi);
-    if (fleet_[mi].preemption_at >= 0) Notice(mi);
+    CheckMachine(mi);
+    if (fleet_[mi].preemption_at >= 0) HandlePreemptionNotice(mi);
   }
-  gangs_.Tick();
+  gang_supervisor_.Tick();
   drainer_.Tick();
-  ForgetFailures();
+  ResetProvenServices();
   CollectEndedJobs();
 }
 
-void Leader::ForgetFailures() {
+void Leader::ResetProvenServices() {
   const double now = ports_.clock->Now();
-  for (JobIndex j : book_.active_jobs()) {
-    Job& job = book_[j];
+  for (JobIndex j : job_store_.active_jobs()) {
+    Job& job = job_store_[j];
     if (!job.spec.service || job.consecutive_failures == 0) continue;
-    if (job.tasks_running > 0 && now - job.last_failure_at > kProvenAfter)
+    if (job.tasks_running > 0 && now - job.last_failure_at > kProvenAfterSeconds)
       job.consecutive_failures = 0;
   }
 }
 
-double Leader::UnreachedFor() const {
-  return unreached_since_ < 0 ? 0 : ports_.clock->Now() - unreached_since_;
+double Leader::UnreachableSeconds() const {
+  return unreachable_since_ < 0 ? 0 : ports_.clock->Now() - unreachable_since_;
 }
 
-void Leader::Notice(MachineIndex mi) {
+void Leader::HandlePreemptionNotice(MachineIndex mi) {
   Machine& m = fleet_[mi];
   const double left = m.preemption_at - ports_.clock->Now();
   for (TaskAttempt& s : m.attempts) {
     if (s.released || !s.wanted || s.job == kNoIndex) continue;
-    const Job& job = book_[s.job];
+    const Job& job = job_store_[s.job];
     if (job.spec.gang) {
-      gangs_.MachineTaken(mi, &s, left);
+      gang_supervisor_.MachineTaken(mi, &s, left);
       continue;
     }
     if (job.spec.checkpoint_interval_s > 0) {
       // The notice may be half as long as it says.
-      fleet_.Unwant(mi, &s, job.spec.checkpoint_grace_s + 1);
+      fleet_.RequestStop(mi, &s, job.spec.checkpoint_grace_s + 1);
       continue;
     }
     const double ran = s.running_since < 0 ? 0 : ports_.clock->Now() - s.running_since;
-    if (job.spec.service || ranking_.TaskSeconds(job) - ran > left) fleet_.Unwant(mi, &s, 0);
+    if (job.spec.service || ranking_.TaskSeconds(job) - ran > left) fleet_.RequestStop(mi, &s, 0);
   }
 }
 
--- a/src/leader/placer.cc
+++ b/src/leader/placer.cc
@@ -41,15 +41,15 @@
 // ever beside it: where nothing more can be rented, what found no place for so long gets
 // it, and gives way when a replica comes.
 double Placer::Reserve(const Job& job) const {
-  const bool starved = clock_->Now() - job.starved_since > tuning_->passed_over_s / 2;
+  const bool starved = clock_->Now() - job.starved_since > tuning_->starvation_s / 2;
   if (job.spec.service || starved) return 0;
-  return free_capacity_->headroom() * tuning_->headroom_free;
+  return free_capacity_->headroom() * tuning_->headroom_reserved_share;
 }
 
 void Placer::Put(JobIndex j, uint32_t node, uint64_t attempt) {
   Job& job = (*job_store_)[j];
   const bool passed = !job.spec.service && ranking_->PassedOver(job, clock_->Now());
-  fleet_->Place(node, j, job.waiting_tasks.back(), attempt, passed);
+  fleet_->PlaceTask(node, j, job.waiting_tasks.back(), attempt, passed);
   free_capacity_->Take(job, node);
   (*fleet_)[node].idle_since = -1;
 }
@@ -105,7 +105,7 @@
       break;
     }
     on.push_back(static_cast<uint32_t>(at));
-    Put(j, static_cast<uint32_t>(at), fleet_->NewAttempt());
+    Put(j, static_cast<uint32_t>(at), fleet_->NewAttemptNumber());
     picker.Again(at);
     ++placed;
   }
@@ -123,13 +123,13 @@
   if (FetchSeconds(job) > tuning_->long_fetch_s) {
     // When many are lost at once, the next pass is far sooner than any fetch.
     if (preemption_.Exhausted()) {
-      fleet_->changed = true;
+      fleet_->placement_needed = true;
       return;
     }
     request.most = job.waiting_tasks.size();
     request.image_here = true;
     // To spare it the fetch, no more work is lost than the fetch would hold up.
-    request.most_loss = tuning_->stop_for_image * FetchSeconds(job) * job.spec.cores;
+    request.most_loss = tuning_->preempt_for_image * FetchSeconds(job) * job.spec.cores;
     coming = preemption_.MakeRoom(request);
   }
   if (coming >= job.waiting_tasks.size()) return;
--- a/src/leader/planner.cc
+++ b/src/leader/planner.cc
@@ -94,7 +94,9 @@
     const Machine& m = (*fleet_)[mi];
     if (m.scaling_in) continue;
     // A machine nobody named may be a late copy's ghost: it counts when it hears.
-    if (!m.registered && !m.may_run_former_attempts && !(m.reconciled && Fleet::Hears(m))) continue;
+    if (!m.registered && !m.may_run_former_attempts &&
+        !(m.reconciled && Fleet::HasAcknowledgedToken(m)))
+      continue;
     ++*machines;
     for (Offer& o : offers) {
       if (o.type == m.type && o.zone == m.zone && o.spot == m.spot) ++o.existing;
@@ -164,7 +166,7 @@
     need.memory_gb = free_capacity_->unit_memory();
     // Arrays on ordinary machines give way: their room counts as kept.
     const double open = std::max(0.0, headroom - free_capacity_->lent_reserve());
-    lent = std::max(0.0, open - headroom * tuning_->headroom_free);
+    lent = std::max(0.0, open - headroom * tuning_->headroom_reserved_share);
     const auto count = static_cast<uint32_t>(std::ceil(open / free_capacity_->unit_cores()));
     if (count > 0) AddWant(&wants, wants.size(), need, count);
   }
@@ -196,7 +198,7 @@
     }
   }
   from = wants.size();
-  double left = std::min(*waiting, backlog / tuning_->drain_s) - lent;
+  double left = std::min(*waiting, backlog / tuning_->backlog_drain_s) - lent;
   for (JobIndex j : ranking_->order()) {
     const Job& job = (*job_store_)[j];
     if (left <= 0) break;
@@ -218,7 +220,7 @@
   const std::vector<Offer> offers = Offers(&bins, &machines);
   double waiting = 0;
   const std::vector<Want> wants = Wants(&waiting);
-  const int most = std::max(0, MostMachines(*settings_) - machines);
+  const int most = std::max(0, MaxMachines(*settings_) - machines);
   for (const Rental& r : PlanRentals(offers, std::move(bins), wants, most)) {
     char why[160];
     std::snprintf(why, sizeof why, "%.0f cores of arrays wait, %.0f kept for replicas", waiting,
@@ -231,7 +233,7 @@
 // emptiest ones are emptied, a replica at a time, each to where its image is.
 void Planner::Consolidate() {
   const double now = clock_->Now();
-  bool waits = fleet_->Unaccounted() > 0 || rentals_->Renting();
+  bool waits = fleet_->CountUnreconciled() > 0 || rentals_->Renting();
   double waiting = 0;
   for (JobIndex j : job_store_->active_jobs()) {
     const Job& job = (*job_store_)[j];
@@ -305,9 +307,9 @@
     // It is itself drained, and so not among them.
     if (Picker(&need, &free_capacity_->nodes(), open).Next(true) < 0) continue;
     spdlog::info("moving {} off {}", s.task_name, m.name);
-    fleet_->Unwant(mi, &s, 0);
+    fleet_->RequestStop(mi, &s, 0);
     m.last_move_at = clock_->Now();
-    fleet_->changed = true;
+    fleet_->placement_needed = true;
     return;
   }
 }
--- a/src/leader/preemption.cc
+++ b/src/leader/preemption.cc
@@ -138,7 +138,7 @@
                  job.guaranteed ? "guaranteed" : "higher priority");
     const bool saves =
         other.spec.checkpoint_interval_s > 0 && other.spec.checkpoint_grace_s <= kShortSave;
-    fleet_->Unwant(choice.machine, &s, saves ? other.spec.checkpoint_grace_s + 1 : 0);
+    fleet_->RequestStop(choice.machine, &s, saves ? other.spec.checkpoint_grace_s + 1 : 0);
   }
 }
 
--- a/src/leader/ranking.cc
+++ b/src/leader/ranking.cc
@@ -44,11 +44,11 @@
     if (x.submitted_wall != y.submitted_wall) return x.submitted_wall < y.submitted_wall;
     return x.id < y.id;
   });
-  std::vector<Use> sum(job_store_->teams.size());
+  std::vector<ResourceUsage> sum(job_store_->teams.size());
   for (JobIndex j : order) {
     Job& job = (*job_store_)[j];
     const Team* team = free_capacity_->TeamOf(job.team);
-    Use& s = sum[job.team];
+    ResourceUsage& s = sum[job.team];
     const auto n = static_cast<double>(job.tasks.size());
     s.cores += n * job.spec.cores;
     s.gpus += n * job.spec.gpus;
@@ -62,7 +62,7 @@
 // waiting for ever. Its limit, its zones and who may be stopped for it stay as
 // they are.
 bool Ranking::PassedOver(const Job& job, double now) const {
-  return !job.waiting_tasks.empty() && now - job.starved_since > tuning_->passed_over_s;
+  return !job.waiting_tasks.empty() && now - job.starved_since > tuning_->starvation_s;
 }
 
 void Ranking::Refresh() {
--- a/src/fleet/model.h
+++ b/src/model/model.h
@@ -160,7 +160,7 @@
   bool partitioned = false;        // silent in a zone that is cut off: rather alive than lost
   bool command_in_flight = false;  // a direct command is on its way
   bool probe_in_flight = false;    // a probe is on its way
-  bool queued_for_update = false;  // waits to be looked at, see Fleet::TakeChanged
+  bool queued_for_update = false;  // waits to be looked at, see Fleet::PopChanged
   bool capacity_stale = true;      // the picture of its free room is out of date
 
   int unreachable_count = 0;  // probes that failed since failing_since
--- a/src/state/job_store.h
+++ b/src/state/job_store.h
@@ -6,7 +6,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "fleet/model.h"
+#include "model/model.h"
 #include "state/record_store.h"
 
 namespace deckhall {
--- a/src/wire/mesh_codec.cc
+++ b/src/wire/peer_codec.cc
@@ -1,4 +1,4 @@
-#include "wire/mesh_codec.h"
+#include "wire/peer_codec.h"
 
 #include <capnp/message.h>
 #include <capnp/serialize.h>
--- a/tests/cluster.cc
+++ b/tests/cluster.cc
@@ -8,7 +8,7 @@
 namespace deckhall {
 namespace {
 
-constexpr double kTick = 0.05;
+constexpr double kTickSeconds = 0.05;
 constexpr double kWorkerTick = 0.25;
 constexpr double kReportTimeout = 4;
 constexpr double kCommitTimeout = 1;
@@ -46,12 +46,12 @@
   std::unique_ptr<Controller> controller;
 };
 
-struct Cluster::Links : MeshTransport {
+struct Cluster::Links : PeerTransport {
   Cluster* c;
   std::weak_ptr<Shell> self;
   std::vector<size_t> peers;  // node index by peer index
 
-  bool Connected(size_t peer) const override {
+  bool IsConnected(size_t peer) const override {
     const auto& other = c->shells_[peers[peer]];
     const CutNow* cut = c->Blocked(self.lock()->name, NodeName(peers[peer]));
     return other && (cut == nullptr || cut->mode != CutMode::kRefuse);
@@ -63,12 +63,14 @@
     Cluster* cluster = c;
     cluster->Carry(from->name, to->name, [cluster, from, to, peer, frame] {
       cluster->OnNode(to, [cluster, from, to, peer, frame] {
-        to->controller->mesh().OnRequest(frame, [cluster, from, to, peer](const PeerFrame& reply) {
-          cluster->Carry(to->name, from->name, [cluster, from, peer, reply] {
-            cluster->OnNode(
-                from, [from, peer, reply] { from->controller->mesh().OnAnswer(peer, reply); });
-          });
-        });
+        to->controller->mesh().HandleRequest(
+            frame, [cluster, from, to, peer](const PeerFrame& reply) {
+              cluster->Carry(to->name, from->name, [cluster, from, peer, reply] {
+                cluster->OnNode(from, [from, peer, reply] {
+                  from->controller->mesh().HandleResponse(peer, reply);
+                });
+              });
+            });
       });
     });
   }
@@ -272,14 +274,14 @@
   if (auto it = workers.find(name); it != workers.end()) it->second.gone = true;
 }
 
-struct Cluster::WorkerLink : WorkerPort {
+struct Cluster::WorkerLink : WorkerClient {
   Cluster* c;
   std::weak_ptr<Shell> self;
 
   void Ask(const std::string& endpoint, bool commands, double timeout,
-           const std::function<WorkerAnswer(SimWorker*)>& act, const Done& done) {
+           const std::function<WorkerResponse(SimWorker*)>& act, const Done& done) {
     auto shell = self.lock();
-    WorkerAnswer none;
+    WorkerResponse none;
     none.sent = true;
     auto answer = c->FirstAnswer(shell, timeout, none, done);
     const std::string name = endpoint.substr(0, endpoint.find(':'));
@@ -296,7 +298,7 @@
         return;
       }
       cluster->CheckLease(&w);
-      const WorkerAnswer a = act(&w);
+      const WorkerResponse a = act(&w);
       cluster->Carry(name, shell->name, [answer, a] { answer(a); });
     };
     if (commands && c->late_commands > 0 && c->Draw(c->late_commands)) {
@@ -306,32 +308,32 @@
     }
     cluster->Carry(shell->name, name, [arrive] { (*arrive)(); });
   }
-  void Do(const std::string& endpoint, uint64_t token, uint64_t session,
-          const std::vector<Command>& commands, double timeout, Done done) override {
+  void SendCommands(const std::string& endpoint, uint64_t token, uint64_t session,
+                    const std::vector<Command>& commands, double timeout, Done done) override {
     c->NoteStops(token, commands);
     Ask(
         endpoint, true, timeout,
         [c = c, token, session, commands, sent = c->clock_.now](SimWorker* w) {
-          WorkerAnswer a;
-          a.sent = a.has_report = true;
+          WorkerResponse a;
+          a.sent = a.has_heartbeat = true;
           const bool ok = token >= w->report.fencing_token && session == w->report.agent_epoch;
           if (ok) c->Execute(w, sent, token, commands);
           ++w->report.sequence;
           a.status = ok ? 200 : 409;
-          a.report = w->report;
+          a.heartbeat = w->report;
           return a;
         },
         done);
   }
-  void Inspect(const std::string& endpoint, double timeout, Done done) override {
+  void Probe(const std::string& endpoint, double timeout, Done done) override {
     Ask(
         endpoint, false, timeout,
         [](SimWorker* w) {
-          WorkerAnswer a;
-          a.sent = a.has_report = true;
+          WorkerResponse a;
+          a.sent = a.has_heartbeat = true;
           a.status = 200;
           ++w->report.sequence;
-          a.report = w->report;
+          a.heartbeat = w->report;
           return a;
         },
         done);
@@ -346,8 +348,8 @@
   cloud_.types = {BoxType(settings.zones)};
   oracle = std::make_unique<Oracle>(settings.teams, settings.cancel_s);
   shells_.resize(nodes);
-  store_.value_limit = static_cast<size_t>(settings.state_now.value_kb * 1024);
-  store_.ops_limit = static_cast<size_t>(settings.state_now.txn_ops);
+  store_.value_limit = static_cast<size_t>(settings.current_state_limits.value_kb * 1024);
+  store_.ops_limit = static_cast<size_t>(settings.current_state_limits.txn_ops);
   for (size_t i = 0; i < nodes; ++i) Boot(i);
   At(clock_.now + 1, [this] { Watch(); });
 }
@@ -360,7 +362,7 @@
   shell->index = i;
   shell->name = NodeName(i);
   constexpr double kDrift = 0.0005;
-  const double bound = settings.time_bound_ms / 1000;
+  const double bound = settings.wall_clock_bound_ms / 1000;
   shell->clock.truth = &clock_;
   shell->clock.rate = std::uniform_real_distribution<double>(1 - kDrift, 1 + kDrift)(random_);
   shell->clock.wall_off = std::uniform_real_distribution<double>(-bound, bound)(random_);
@@ -474,7 +476,7 @@
 void Cluster::TickNode(const std::shared_ptr<Shell>& shell) {
   OnNode(shell, [this, shell] {
     shell->controller->Tick();
-    After(kTick, [this, shell] { TickNode(shell); });
+    After(kTickSeconds, [this, shell] { TickNode(shell); });
   });
 }
 
@@ -529,7 +531,7 @@
   w.rate = std::uniform_real_distribution<double>(0.9995, 1.0005)(random_);
   w.node = workers.size() % shells_.size();
   w.lease_from = clock_.now;
-  After(std::uniform_real_distribution<double>(0, settings.report_s)(random_),
+  After(std::uniform_real_distribution<double>(0, settings.heartbeat_interval_s)(random_),
         [this, name] { WorkerTick(name); });
   return w;
 }
@@ -552,8 +554,9 @@
     for (const Heartbeat& r : sent) {
       for (const auto& shell : shells_) {
         if (!shell) continue;
-        OnNode(shell,
-               [shell, r] { shell->controller->CheckIn(r, [](const HeartbeatResponse&) {}); });
+        OnNode(shell, [shell, r] {
+          shell->controller->HandleHeartbeat(r, [](const HeartbeatResponse&) {});
+        });
       }
     }
   });
@@ -706,7 +709,7 @@
   });
   Carry(name, shell->name, [this, shell, name, number, sent, report = w.report] {
     OnNode(shell, [this, shell, name, number, sent, report] {
-      shell->controller->CheckIn(
+      shell->controller->HandleHeartbeat(
           report, [this, shell, name, number, sent](const HeartbeatResponse& r) {
             NoteStops(r.fencing_token, r.commands);
             Carry(shell->name, name, [this, name, number, sent, answered = clock_.now, r] {
@@ -735,7 +738,7 @@
     NextNode(&w, 1);
     return;
   }
-  w.next_report = clock_.now + settings.report_s * jitter(random_);
+  w.next_report = clock_.now + settings.heartbeat_interval_s * jitter(random_);
   const uint64_t session = w.report.agent_epoch;
   CheckLease(&w);
   if (r.fencing_token < w.report.fencing_token || session != w.report.agent_epoch) return;
@@ -757,7 +760,7 @@
   After(op == JobOperation::kGet ? kPollTimeout : kAskTimeout, [answer, none] { answer(none); });
   std::vector<std::shared_ptr<Shell>> up;
   for (const auto& shell : shells_) {
-    if (shell && shell->controller->Up()) up.push_back(shell);
+    if (shell && shell->controller->IsHealthy()) up.push_back(shell);
   }
   if (up.empty()) return;
   auto shell = up[std::uniform_int_distribution<size_t>(0, up.size() - 1)(random_)];
@@ -767,7 +770,7 @@
   if (op == JobOperation::kSubmit) ask.job = specs_.at(id);
   Carry("users", shell->name, [this, shell, ask, answer] {
     OnNode(shell, [this, shell, ask, answer] {
-      shell->controller->User(ask, [this, shell, answer](const JobResponse& r) {
+      shell->controller->HandleJobRequest(ask, [this, shell, answer](const JobResponse& r) {
         Carry(shell->name, "users", [answer, r] { answer(r); });
       });
     });
@@ -816,8 +819,8 @@
 }
 
 void Cluster::LowerStateLimits() {
-  store_.value_limit = static_cast<size_t>(settings.state_kept.value_kb * 1024);
-  store_.ops_limit = static_cast<size_t>(settings.state_kept.txn_ops);
+  store_.value_limit = static_cast<size_t>(settings.effective_state_limits.value_kb * 1024);
+  store_.ops_limit = static_cast<size_t>(settings.effective_state_limits.txn_ops);
 }
 bool Cluster::Drained(const SimWorker& w) const {
   return policy_ != nullptr &&
@@ -866,7 +869,7 @@
 size_t Cluster::Leader() const {
   for (size_t i = 0; i < shells_.size(); ++i) {
     const auto& s = shells_[i];
-    if (s && s->controller->Trusted() && s->controller->leader() != nullptr &&
+    if (s && s->controller->IsLeaseValid() && s->controller->leader() != nullptr &&
         s->controller->leader()->loaded()) {
       return i;
     }
--- a/tests/cluster_gangs.cc
+++ b/tests/cluster_gangs.cc
@@ -33,7 +33,8 @@
     return;
   }
   if (attempt->lost_at < 0) attempt->lost_at = clock_.now;
-  if (clock_.now - attempt->lost_at > settings.gang_peer_s) end_all(ExitReason::kGangMemberLost);
+  if (clock_.now - attempt->lost_at > settings.gang_loss_detection_s)
+    end_all(ExitReason::kGangMemberLost);
 }
 
 void Cluster::StepGangs() {
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -1,7 +1,7 @@
 #include <gtest/gtest.h>
 
-#include "app/settings.h"
-#include "app/tuning.h"
+#include "config/settings.h"
+#include "config/tuning.h"
 #include "fakes.h"
 #include "leader/election.h"
 #include "sched/capacity.h"
@@ -61,8 +61,8 @@
   int won = 0;
   int lost = 0;
   ElectionWorld() {
-    election.on_won = [this](uint64_t) { ++won; };
-    election.on_lost = [this] { ++lost; };
+    election.on_elected = [this](uint64_t) { ++won; };
+    election.on_leadership_lost = [this] { ++lost; };
   }
   void Pass(double seconds) {
     const double begin = clock.now;
@@ -78,14 +78,14 @@
   ElectionWorld w;
   w.Pass(1);
   ASSERT_EQ(w.won, 1);
-  EXPECT_TRUE(w.election.Trusted());
+  EXPECT_TRUE(w.election.IsLeaseValid());
   w.state.refuse = true;  // an outage, or a 503 that this node alone gets
   w.Pass(3);
-  EXPECT_FALSE(w.election.Trusted());
-  EXPECT_TRUE(w.election.holding());
+  EXPECT_FALSE(w.election.IsLeaseValid());
+  EXPECT_TRUE(w.election.HoldsKey());
   w.state.refuse = false;
   w.Pass(1);
-  EXPECT_TRUE(w.election.Trusted());
+  EXPECT_TRUE(w.election.IsLeaseValid());
   w.state.EndLease(1);
   w.Pass(1);
   EXPECT_EQ(w.lost, 1);
@@ -117,8 +117,8 @@
   ElectionWorld w;
   w.Pass(1);
   ASSERT_EQ(w.won, 1);
-  w.election.StepDown("test", 10);
-  EXPECT_FALSE(w.election.Trusted());
+  w.election.Resign("test", 10);
+  EXPECT_FALSE(w.election.IsLeaseValid());
   w.Pass(1);
   EXPECT_FALSE(w.state.keys.contains(Election::kKey));
   EXPECT_EQ(w.won, 1);
@@ -130,7 +130,7 @@
 TEST(Election, TellsWhatTheStateServiceShowsOfTerms) {
   ElectionWorld w;
   uint64_t known = 0;
-  w.election.on_known = [&known](uint64_t bound) { known = bound; };
+  w.election.on_term_bound = [&known](uint64_t bound) { known = bound; };
   w.state.refuse = true;
   w.Pass(1);
   EXPECT_EQ(known, 0U);
@@ -156,7 +156,8 @@
     ask.operation = JobOperation::kSubmit;
     ask.job_id = "job-" + std::to_string(i);
     ask.job = w.Array(ask.job_id, 3);
-    w.leader->User(ask, [&accepted](const JobResponse& r) { accepted += r.status == 201 ? 1 : 0; });
+    w.leader->HandleJobRequest(
+        ask, [&accepted](const JobResponse& r) { accepted += r.status == 201 ? 1 : 0; });
   }
   w.Settle();
   EXPECT_EQ(accepted, 100);
--- a/tests/drain_mix_test.cc
+++ b/tests/drain_mix_test.cc
@@ -15,7 +15,7 @@
 class DrainMix {
  public:
   explicit DrainMix(uint64_t seed) : c_(seed, seed % 4 == 0 ? 5 : 3, Times(seed)) {
-    const double detect_s = c_.settings.report_s * 1.3 + 0.5 + kSlack;
+    const double detect_s = c_.settings.heartbeat_interval_s * 1.3 + 0.5 + kSlack;
     c_.disruption =
         std::make_unique<DisruptionOracle>(detect_s, PolicyReplicator::kFreshFor, kSettle);
   }
@@ -53,10 +53,10 @@
 
   static Settings Times(uint64_t seed) {
     Settings s;
-    s.report_s = seed % 2 == 0 ? 3 : 1.5;
+    s.heartbeat_interval_s = seed % 2 == 0 ? 3 : 1.5;
     s.lease_s = 20;
     s.cancel_s = 45;
-    s.state_now.value_kb = s.state_kept.value_kb = seed % 3 == 0 ? 4 : 8;
+    s.current_state_limits.value_kb = s.effective_state_limits.value_kb = seed % 3 == 0 ? 4 : 8;
     return s;
   }
   bool Chance(double p) { return std::uniform_real_distribution<double>(0, 1)(c_.random()) < p; }
--- a/tests/drain_policy_test.cc
+++ b/tests/drain_policy_test.cc
@@ -162,7 +162,7 @@
 }
 
 TEST_F(PolicyFileTest, OneThatNoValueHoldsIsRefused) {
-  settings_.state_kept.value_kb = 0.5;
+  settings_.effective_state_limits.value_kb = 0.5;
   Write(kGood);
   DisruptionPolicy policy;
   EXPECT_NE(LoadPolicyFile(path_, settings_, &policy).find("a value of the state service"),
--- a/tests/drain_size_test.cc
+++ b/tests/drain_size_test.cc
@@ -42,7 +42,7 @@
     ask.operation = JobOperation::kSubmit;
     ask.job_id = spec.id;
     ask.job = spec;
-    w.leader->User(ask, [](const JobResponse&) {});
+    w.leader->HandleJobRequest(ask, [](const JobResponse&) {});
     if (i % 50 == 49) w.Watch(0.5);
   }
   w.Watch(10);
--- a/tests/drain_test.cc
+++ b/tests/drain_test.cc
@@ -754,7 +754,7 @@
   w.Machine("m-1", "east");
   EXPECT_EQ(w.Submit(w.Service("job-1", 2)).status, 201);
   w.Pass(3);
-  const JobIndex j = w.leader->book().Find("job-1");
+  const JobIndex j = w.leader->job_store().Find("job-1");
   EXPECT_EQ(w.leader->ledger().AvailableOf(j), 0U);
   EXPECT_EQ(w.leader->ledger().DownOf("blue"), 2U);
   w.Pass(10);
--- a/tests/drain_world.cc
+++ b/tests/drain_world.cc
@@ -7,7 +7,7 @@
 namespace deckhall {
 
 DrainWorld::DrainWorld() {
-  settings.report_s = 1;
+  settings.heartbeat_interval_s = 1;
   // Machines are rented only where a test asks for it.
   cloud.refuse = true;
 }
@@ -20,7 +20,7 @@
   EXPECT_EQ(CheckPolicy(*policy, settings), "") << text;
   policy_ = policy;
   most_down_.clear();
-  leader->Use(policy_, confirmed);
+  leader->ApplyDisruptionPolicy(policy_, confirmed);
 }
 
 void DrainWorld::DrainOne() {
@@ -41,7 +41,7 @@
 
 void DrainWorld::NextLeader() {
   Lead();
-  leader->Use(policy_, true);
+  leader->ApplyDisruptionPolicy(policy_, true);
   Settle();
 }
 
--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "app/settings.h"
-#include "app/tuning.h"
+#include "config/settings.h"
+#include "config/tuning.h"
 #include "leader/leader.h"
 
 namespace deckhall {
@@ -296,7 +296,7 @@
   }
 };
 
-struct FakeWorkers : WorkerPort {
+struct FakeWorkers : WorkerClient {
   std::map<std::string, FakeWorker> at;  // by endpoint
   std::deque<std::function<void()>> queue;
 
@@ -307,14 +307,14 @@
       fn();
     }
   }
-  void Do(const std::string& endpoint, uint64_t token, uint64_t session,
-          const std::vector<Command>& commands, double, Done done) override {
+  void SendCommands(const std::string& endpoint, uint64_t token, uint64_t session,
+                    const std::vector<Command>& commands, double, Done done) override {
     FakeWorker& w = at[endpoint];
-    WorkerAnswer a;
+    WorkerResponse a;
     a.sent = true;
     if (w.mute) return;
     if (w.unsent) {
-      queue.push_back([done] { done(WorkerAnswer()); });
+      queue.push_back([done] { done(WorkerResponse()); });
       return;
     }
     if (w.hold > 0) {
@@ -325,35 +325,35 @@
       if (ok) w.Execute(token, commands);
       ++w.report.sequence;
       a.status = ok ? 200 : 409;
-      a.has_report = true;
-      a.report = w.report;
+      a.has_heartbeat = true;
+      a.heartbeat = w.report;
       if (w.lose_answers > 0) {
         --w.lose_answers;
-        a = WorkerAnswer();
+        a = WorkerResponse();
         a.sent = true;
       }
     }
     queue.push_back([done, a] { done(a); });
   }
-  void Inspect(const std::string& endpoint, double, Done done) override {
+  void Probe(const std::string& endpoint, double, Done done) override {
     FakeWorker& w = at[endpoint];
-    WorkerAnswer a;
+    WorkerResponse a;
     a.sent = true;
     if (!w.silent && !w.deaf) {
       ++w.report.sequence;
       a.status = 200;
-      a.has_report = true;
-      a.report = w.report;
+      a.has_heartbeat = true;
+      a.heartbeat = w.report;
     }
     queue.push_back([done, a] { done(a); });
   }
 };
 
-struct FakeLease : LeaseView {
+struct FakeLease : LeadershipLease {
   const FakeClock* clock = nullptr;
   double until = 1e12;
-  bool Trusted() const override { return clock->now < until; }
-  double TrustedUntil() const override { return until; }
+  bool IsLeaseValid() const override { return clock->now < until; }
+  double LeaseValidUntil() const override { return until; }
 };
 
 inline JobSpec ArraySpec(const std::string& id, uint32_t tasks, double cores) {
@@ -432,10 +432,10 @@
                       &lease, nullptr, nullptr,  former_leader_zone};
     if (no_later_term_since >= 0)
       ports.no_later_term_since = [this](uint64_t) { return no_later_term_since; };
-    ports.doubtful = [this](const std::string& zone) { return zone == lead_doubtful; };
+    ports.is_zone_suspected = [this](const std::string& zone) { return zone == lead_doubtful; };
     leader = std::make_unique<Leader>(ports, &settings, &tuning, "leader", state.revision);
-    leader->on_deposed = [this](const char*) { deposed = true; };
-    leader->Begin();
+    leader->on_leadership_lost = [this](const char*) { deposed = true; };
+    leader->Start();
     Settle();
   }
   void Settle() {
@@ -460,7 +460,7 @@
   void ReportNow(FakeWorker* w) {
     if (w->silent || w->report.machine.empty()) return;
     ++w->report.sequence;
-    const HeartbeatResponse reply = leader->OnReport(w->report);
+    const HeartbeatResponse reply = leader->HandleHeartbeat(w->report);
     if (reply.status == 200 && reply.fencing_token >= w->report.fencing_token && !w->deaf) {
       w->Execute(reply.fencing_token, reply.commands);
     }
@@ -494,7 +494,7 @@
     if (spec != nullptr) ask.job = *spec;
     auto out = std::make_shared<JobResponse>();
     out->status = 0;
-    leader->User(ask, [out](const JobResponse& r) { *out = r; });
+    leader->HandleJobRequest(ask, [out](const JobResponse& r) { *out = r; });
     Settle();
     return *out;
   }
--- a/tests/fleet_test.cc
+++ b/tests/fleet_test.cc
@@ -75,7 +75,7 @@
   w.Pass(1);
   w.cloud.out = true;
   a.silent = true;
-  w.Pass(w.tuning.quick_lost_s + 3);
+  w.Pass(w.tuning.quick_death_s + 3);
   a.silent = false;
   w.Ask(JobOperation::kCancel, "job-1");
   w.Pass(1);
@@ -140,7 +140,7 @@
   const Heartbeat early = a.report;
   w.Submit(w.Service("job-1", 1));
   w.Pass(1);
-  w.leader->OnReport(early);
+  w.leader->HandleHeartbeat(early);
   w.Settle();
   EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").tasks_running, 1U);
   EXPECT_EQ(a.started.size(), 1U);
@@ -156,7 +156,7 @@
   FakeWorker& has = a.Has("job-1/0") ? a : b;
   FakeWorker& other = &has == &a ? b : a;
   has.silent = true;
-  w.Pass(w.tuning.quick_lost_s - 1);
+  w.Pass(w.tuning.quick_death_s - 1);
   EXPECT_FALSE(other.Has("job-1/0"));
   w.Pass(3);
   EXPECT_TRUE(other.Has("job-1/0"));
@@ -172,13 +172,13 @@
   w.Submit(w.Service("job-1", 1));
   w.Pass(1);
   a.silent = true;
-  w.Pass(w.tuning.lost_s + 4);
+  w.Pass(w.tuning.death_s + 4);
   a.silent = false;
   w.Pass(2);
   EXPECT_TRUE(w.cloud.returned.empty());
   EXPECT_TRUE(a.Has("job-1/0"));
   a.silent = true;
-  w.Pass(w.tuning.lost_behind_cut_s + 4);
+  w.Pass(w.tuning.partition_death_s + 4);
   EXPECT_FALSE(w.cloud.returned.empty());
 }
 
--- a/tests/gang_test.cc
+++ b/tests/gang_test.cc
@@ -124,7 +124,7 @@
   a.report.tasks.clear();
   w.Run(4);
   // Sooner than the tasks themselves would notice.
-  EXPECT_LT(4, w.settings.gang_peer_s);
+  EXPECT_LT(4, w.settings.gang_loss_detection_s);
   w.Run(2);
   EXPECT_EQ(w.In("job-1", TaskState::kRunning), 6U);
   EXPECT_NE(w.Attempts("job-1"), first);
@@ -405,10 +405,10 @@
   for (const uint32_t machines : {125U, 500U}) {
     GangWorld w;
     w.settings.teams[0].cores_max = 0;
-    w.settings.mem_mb = 500;
+    w.settings.quota_memory_mb = 500;
     w.Lead();
     for (uint32_t i = 0; i < machines; ++i) w.Box("m-" + std::to_string(i), "east");
-    const uint64_t before = w.leader->steps();
+    const uint64_t before = w.leader->work_units();
     const uint32_t tasks = machines * 4;
     ASSERT_EQ(w.Submit(w.Gang("job-1", tasks)).status, 201);
     w.Run(3);
@@ -416,7 +416,7 @@
     w.Complete("job-1");
     w.Run(3);
     EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").state, JobState::kDone);
-    steps[machines == 500 ? 1 : 0] = w.leader->steps() - before;
+    steps[machines == 500 ? 1 : 0] = w.leader->work_units() - before;
   }
   // Four times the machines and tasks, four times the work.
   EXPECT_LT(steps[1], steps[0] * 5);
--- a/tests/gang_world.cc
+++ b/tests/gang_world.cc
@@ -69,7 +69,8 @@
     } else if (task->state == TaskState::kCheckpointing &&
                clock.now - attempt.first_stop >= spec.checkpoint_grace_s) {
       Exit(task, ExitReason::kStopped, true);
-    } else if (attempt.lost_at >= 0 && clock.now - attempt.lost_at >= settings.gang_peer_s) {
+    } else if (attempt.lost_at >= 0 &&
+               clock.now - attempt.lost_at >= settings.gang_loss_detection_s) {
       Exit(task, ExitReason::kGangMemberLost);
     }
   }
--- a/tests/gang_world.h
+++ b/tests/gang_world.h
@@ -16,7 +16,7 @@
     cloud.refuse = true;
     settings.teams = {{"blue", 0, 40, 0, 0}, {"red", 0, 0, 0, 0}};
     settings.gang_wait_s = 20;
-    settings.gang_peer_s = 8;
+    settings.gang_loss_detection_s = 8;
   }
   JobSpec Gang(const std::string& id, uint32_t tasks, double cores = 2);
   FakeWorker& Box(const std::string& name, const std::string& zone, bool spot = false);
--- a/tests/golden_rows_test.cc
+++ b/tests/golden_rows_test.cc
@@ -94,9 +94,9 @@
     Lead();
   }
   const Job& Known(const std::string& id) {
-    const JobIndex index = leader->book().Find(id);
+    const JobIndex index = leader->job_store().Find(id);
     EXPECT_NE(index, kNoIndex) << id;
-    return leader->book()[index];
+    return leader->job_store()[index];
   }
   const deckhall::Machine& KnownMachine(const std::string& name) {
     const MachineIndex index = leader->fleet().Find(name);
@@ -106,7 +106,7 @@
   Rows ImagesOn(const std::string& name) {
     Rows images;
     for (const uint32_t image : KnownMachine(name).cached_images) {
-      images.push_back(leader->book().images[image]);
+      images.push_back(leader->job_store().images[image]);
     }
     return images;
   }
@@ -206,7 +206,7 @@
 
 TEST(GoldenRows, ASuccessorKnowsEveryLiveJobOfProductionInFull) {
   Successor w;
-  EXPECT_EQ(w.leader->book().active_jobs().size(), 7U);
+  EXPECT_EQ(w.leader->job_store().active_jobs().size(), 7U);
   for (const JobSpec& spec : {ZoneService(), ArrayWithImage(), LargeArray(), ServiceApart(), Gang(),
                               IdleOnSpot(), ProductionArray()}) {
     SCOPED_TRACE(spec.id);
@@ -277,8 +277,8 @@
     SCOPED_TRACE(expected.name);
     const Machine& machine = w.KnownMachine(expected.name);
     EXPECT_EQ(machine.endpoint, expected.endpoint);
-    EXPECT_EQ(w.leader->book().types[machine.type], "box");
-    EXPECT_EQ(w.leader->book().zones[machine.zone], expected.zone);
+    EXPECT_EQ(w.leader->job_store().types[machine.type], "box");
+    EXPECT_EQ(w.leader->job_store().zones[machine.zone], expected.zone);
     EXPECT_EQ(machine.spot, expected.spot);
     EXPECT_EQ(machine.provisioned_at_wall, expected.rented_wall);
     EXPECT_EQ(machine.unrenewed_since_wall, expected.unanswered_since);
@@ -330,7 +330,7 @@
     for (const std::string& text : rows) {
       const RecordId row = store.Add(kNotWritten, kRowReserve, WritePriority::kBackground);
       const bool read =
-          rentals.LoadRow(row, text) || hints.LoadRow(row, text) || book.LoadRecord(row, text);
+          rentals.LoadRow(row, text) || hints.LoadRecord(row, text) || book.LoadRecord(row, text);
       EXPECT_TRUE(read) << text;
     }
     book.FinishLoad(clock.Now(), clock.Wall());
@@ -442,12 +442,12 @@
   options.label = "n0";
   options.instance = kLargeNumber;
   Election election(&state, &clock, options);
-  for (int i = 0; i < 20 && !election.holding(); ++i) {
+  for (int i = 0; i < 20 && !election.HoldsKey(); ++i) {
     election.Tick();
     state.Run();
     clock.now += 0.1;
   }
-  ASSERT_TRUE(election.holding());
+  ASSERT_TRUE(election.HoldsKey());
   EXPECT_EQ(state.keys[Election::kKey].value, Recorded()[Election::kKey].front());
   EXPECT_EQ(state.keys[Election::kKey].value,
             R"({"label":"n0","instance":9007199254740993,"lease":1})");
--- a/tests/golden_wire_test.cc
+++ b/tests/golden_wire_test.cc
@@ -7,7 +7,7 @@
 #include "wire/cloud_codec.h"
 #include "wire/job_codec.h"
 #include "wire/key_value_codec.h"
-#include "wire/mesh_codec.h"
+#include "wire/peer_codec.h"
 #include "wire/worker_codec.h"
 
 namespace deckhall {
--- a/tests/handover_test.cc
+++ b/tests/handover_test.cc
@@ -31,7 +31,7 @@
     c->Run(c->settings.cancel_s + 2 * c->settings.lease_s + 20);
     const Controller* leader = c->node(c->Leader());
     ASSERT_NE(leader, nullptr);
-    EXPECT_TRUE(const_cast<Leader*>(leader->leader())->book().ended_jobs().empty());
+    EXPECT_TRUE(const_cast<Leader*>(leader->leader())->job_store().ended_jobs().empty());
   }
 }
 
--- a/tests/leader_test.cc
+++ b/tests/leader_test.cc
@@ -72,7 +72,7 @@
   m.report.fencing_token = (w.leader->term() + 1) << kTermShift;
   ++m.report.sequence;
   w.lease.until = w.clock.now - 0.1;
-  EXPECT_EQ(w.leader->OnReport(m.report).status, 421);
+  EXPECT_EQ(w.leader->HandleHeartbeat(m.report).status, 421);
   EXPECT_TRUE(w.deposed);
 }
 
@@ -148,13 +148,13 @@
   EXPECT_EQ(m.started.size(), before);
   EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").status, 503);
   ++m.report.sequence;
-  EXPECT_EQ(w.leader->OnReport(m.report).status, 200);
+  EXPECT_EQ(w.leader->HandleHeartbeat(m.report).status, 200);
   // What it renewed last is gone before a cancellation that another one told meanwhile
   // runs out of time.
   EXPECT_LT(GracePeriodSeconds(w.settings) + w.settings.lease_s, w.settings.cancel_s);
   w.clock.now += GracePeriodSeconds(w.settings) + 1;
   ++m.report.sequence;
-  EXPECT_EQ(w.leader->OnReport(m.report).status, 503);
+  EXPECT_EQ(w.leader->HandleHeartbeat(m.report).status, 503);
 }
 
 TEST(Leader, PastItsLeaseAReportGetsNoLaunchThatWasStillToBeSent) {
@@ -199,15 +199,15 @@
   w.clock.now += GracePeriodSeconds(w.settings) * 3;
   w.no_later_term_since = w.clock.now - 1;  // the others know of no later term
   ++m.report.sequence;
-  EXPECT_EQ(w.leader->OnReport(m.report).status, 200);
+  EXPECT_EQ(w.leader->HandleHeartbeat(m.report).status, 200);
   w.no_later_term_since = w.clock.now - GracePeriodSeconds(w.settings) - 1;
   ++m.report.sequence;
-  EXPECT_EQ(w.leader->OnReport(m.report).status, 503);
+  EXPECT_EQ(w.leader->HandleHeartbeat(m.report).status, 503);
 }
 
 TEST(Leader, WhatTheMemoryDoesNotAllowIsPutOffAndWhatIsAcceptedStays) {
   World w;
-  w.settings.mem_mb = 0.1;  // some ten jobs, some four hundred tasks
+  w.settings.quota_memory_mb = 0.1;  // some ten jobs, some four hundred tasks
   w.Lead();
   EXPECT_EQ(w.Submit(w.Array("job-1", 300)).status, 201);
   const JobResponse tasks = w.Submit(w.Array("job-2", 200));
--- a/tests/loopback_fleet.cc
+++ b/tests/loopback_fleet.cc
@@ -9,7 +9,7 @@
 namespace deckhall {
 namespace {
 
-constexpr double kTick = 0.05;
+constexpr double kTickSeconds = 0.05;
 constexpr double kLeastBetweenReports = 0.5;
 constexpr double kReportTimeout = 4;
 
@@ -61,7 +61,7 @@
       ticker_(loop, [this] { Tick(); }),
       server_(loop, cloud, HttpServerLimits(),
               [this](const HttpMessage& m, const HttpServer::Reply& r) { Cloud(m, r); }) {
-  ticker_.Start(kTick, kTick);
+  ticker_.Start(kTickSeconds, kTickSeconds);
 }
 
 LoopbackFleet::~LoopbackFleet() = default;
--- a/tests/loopback_state.cc
+++ b/tests/loopback_state.cc
@@ -9,7 +9,7 @@
 namespace deckhall {
 namespace {
 
-constexpr double kTick = 0.02;
+constexpr double kTickSeconds = 0.02;
 
 HttpAnswer Answer(int status, std::string body) {
   HttpAnswer answer;
@@ -51,7 +51,7 @@
     : ticker_(loop, [this] { Tick(); }),
       server_(loop, at, HttpServerLimits(),
               [this](const HttpMessage& m, const HttpServer::Reply& r) { Handle(m, r); }) {
-  ticker_.Start(kTick, kTick);
+  ticker_.Start(kTickSeconds, kTickSeconds);
 }
 
 void LoopbackState::OutUntil(double t) { out_until_ = t; }
--- a/tests/meeting_test.cc
+++ b/tests/meeting_test.cc
@@ -97,7 +97,7 @@
     if (!gap.without_peers && c->Leader() != SIZE_MAX && c->Leader() != a) {
       // Its peers tell the old leader, without the state service.
       c->Run(1);
-      EXPECT_FALSE(c->node(a)->election().holding());
+      EXPECT_FALSE(c->node(a)->election().HoldsKey());
     }
     c->Run(outage + 120);
     EXPECT_EQ(c->Broken(), "") << "seed " << seed;
@@ -415,7 +415,7 @@
     ask.operation = JobOperation::kGet;
     ask.job_id = "job-1";
     for (int i = 0; i < static_cast<int>(rate * 3); ++i) {
-      c->node(node)->User(ask, [&](const JobResponse& r) {
+      c->node(node)->HandleJobRequest(ask, [&](const JobResponse& r) {
         EXPECT_TRUE(r.status == 200 || r.retry_after_s > 0);
         ++(r.status == 200 ? answered : refused);
       });
--- a/tests/mix_test.cc
+++ b/tests/mix_test.cc
@@ -65,14 +65,14 @@
     Settings s;
     const double leases[] = {20, 26.5, 30};
     const double beyond[] = {20, 3, 25};
-    s.report_s = seed % 2 == 0 ? 3 : 6;
+    s.heartbeat_interval_s = seed % 2 == 0 ? 3 : 6;
     s.lease_s = leases[seed % 3];
     s.cancel_s = s.lease_s + beyond[seed / 3 % 3];
-    s.state_now.value_kb = s.state_kept.value_kb = seed % 5 < 2 ? 1.5 : 8;
-    s.time_bound_ms = seed % 4 < 2 ? 1000 : 100;
+    s.current_state_limits.value_kb = s.effective_state_limits.value_kb = seed % 5 < 2 ? 1.5 : 8;
+    s.wall_clock_bound_ms = seed % 4 < 2 ? 1000 : 100;
     if (seed % 3 == 0) {
-      s.state_kept.value_kb = std::min(s.state_kept.value_kb, 2.0);
-      s.state_kept.txn_ops = 4;
+      s.effective_state_limits.value_kb = std::min(s.effective_state_limits.value_kb, 2.0);
+      s.effective_state_limits.txn_ops = 4;
     }
     return s;
   }
--- a/tests/oracle.h
+++ b/tests/oracle.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "app/settings.h"
+#include "config/settings.h"
 #include "wire/types.h"
 
 namespace deckhall {
--- a/tests/placer_test.cc
+++ b/tests/placer_test.cc
@@ -73,14 +73,14 @@
   World w;
   w.cloud.refuse = true;
   w.tuning.headroom_machines = 2;
-  w.tuning.headroom_free = 1;
+  w.tuning.headroom_reserved_share = 1;
   w.Lead();
   auto& a = w.Machine("m-1", "east");
   auto& b = w.Machine("m-2", "west");
   w.Submit(w.Service("job-1", 1, 6));
   w.Pass(1);
   w.Submit(w.Array("job-2", 1, 4));
-  w.Pass(w.tuning.passed_over_s / 2 - 5);
+  w.Pass(w.tuning.starvation_s / 2 - 5);
   EXPECT_FALSE(a.Has("job-2/0") || b.Has("job-2/0"));
   w.Pass(10);
   EXPECT_TRUE(a.Has("job-2/0") || b.Has("job-2/0"));
@@ -96,7 +96,7 @@
 TEST(Placer, WhatWentFirstOnceIsNotStoppedForAGuarantee) {
   World w;
   w.cloud.refuse = true;
-  w.tuning.passed_over_s = 10;
+  w.tuning.starvation_s = 10;
   w.tuning.preempt_after_s = 1;
   w.Lead();
   auto& a = w.Machine("m-1", "east");
--- a/tests/state_limits_test.cc
+++ b/tests/state_limits_test.cc
@@ -241,8 +241,8 @@
   size_t largest = 0;
   for (const auto& [key, entry] : w.state.keys) largest = std::max(largest, entry.value.size());
   ASSERT_GT(largest, 4096U);
-  w.settings.state_kept.value_kb = 2;
-  w.settings.state_kept.txn_ops = 4;
+  w.settings.effective_state_limits.value_kb = 2;
+  w.settings.effective_state_limits.txn_ops = 4;
   w.Lead();
   w.Pass(5);
   w.state.value_limit = 2048;
@@ -272,7 +272,7 @@
   for (int i = 0; i < 30; ++i)
     large.allowed_types->push_back(std::string(100, 'a') + std::to_string(i));
   ASSERT_EQ(w.Submit(large).status, 201);
-  w.settings.state_kept.value_kb = 2;
+  w.settings.effective_state_limits.value_kb = 2;
   w.Lead();
   w.Pass(5);
   w.state.value_limit = 2048;
@@ -291,16 +291,16 @@
 "next":{"write_rps":30,"value_kb":2,"txn_ops":4}}}})";
   Settings s;
   ASSERT_EQ(ReadSettings(text, &s), "");
-  EXPECT_EQ(s.state_now.value_kb, 8);
-  EXPECT_EQ(s.state_kept.value_kb, 2);
-  EXPECT_EQ(s.state_kept.txn_ops, 4);
-  EXPECT_EQ(s.state_kept.write_rps, 20);
+  EXPECT_EQ(s.current_state_limits.value_kb, 8);
+  EXPECT_EQ(s.effective_state_limits.value_kb, 2);
+  EXPECT_EQ(s.effective_state_limits.txn_ops, 4);
+  EXPECT_EQ(s.effective_state_limits.write_rps, 20);
   std::string without = text;
   const size_t at = without.find(",\n\"next\"");
   without.erase(at, without.find("}}}}") + 1 - at);
   Settings present;
   ASSERT_EQ(ReadSettings(without, &present), "");
-  EXPECT_EQ(present.state_kept.value_kb, 8);
+  EXPECT_EQ(present.effective_state_limits.value_kb, 8);
   for (const auto& [from, to] : std::vector<std::pair<std::string, std::string>>{
            {"\"value_kb\":2", "\"value_kb\":0"},
            {"\"txn_ops\":4", "\"txn_ops\":\"4\""},
--- a/tests/takeover_test.cc
+++ b/tests/takeover_test.cc
@@ -21,7 +21,7 @@
 
 TEST(Takeover, ASilentMachineKeepsItsTasksFromStartingElsewhere) {
   World w;
-  w.tuning.takeover_wait_s = 1000;  // never returned: the lease alone decides
+  w.tuning.failover_wait_s = 1000;  // never returned: the lease alone decides
   w.Lead();
   auto& a = w.Machine("m-1", "east");
   w.Submit(w.Service("job-1", 1));
@@ -53,7 +53,7 @@
   a.silent = true;
   w.Lead();
   auto& b = w.Machine("m-2", "east");
-  w.Pass(w.tuning.takeover_wait_s + 4);
+  w.Pass(w.tuning.failover_wait_s + 4);
   EXPECT_NE(std::find(w.cloud.returned.begin(), w.cloud.returned.end(), "m-1"),
             w.cloud.returned.end());
   EXPECT_TRUE(b.Has("job-1/0"));
@@ -61,7 +61,7 @@
 
 TEST(Takeover, TasksThatMayBeOnASilentMachineCountForTheLimit) {
   World w;
-  w.tuning.takeover_wait_s = 1000;
+  w.tuning.failover_wait_s = 1000;
   w.Lead();
   auto& a = w.Machine("m-1", "east");
   w.Submit(w.Array("job-1", 4));  // 8 of 16 cores
@@ -107,7 +107,7 @@
 
 TEST(Takeover, AnAttemptThatEndedDoesNotFreeATaskThatMayRunElsewhere) {
   World w;
-  w.tuning.takeover_wait_s = 1000;
+  w.tuning.failover_wait_s = 1000;
   w.Lead();
   auto& a = w.Machine("m-1", "east");
   w.Submit(w.Service("job-1", 1));
@@ -129,10 +129,10 @@
 TEST(Takeover, PagesThatTheNextLeaderFillsStayWithinTheLimitWhenTheirRowsGrow) {
   World w;
   w.cloud.refuse = true;
-  w.settings.state_now.value_kb = w.settings.state_kept.value_kb = 2;
+  w.settings.current_state_limits.value_kb = w.settings.effective_state_limits.value_kb = 2;
   w.state.value_limit = 2048;
   w.settings.teams = {{"blue", 0, 0, 0, 0}};
-  w.tuning.save_s = 1;
+  w.tuning.progress_save_s = 1;
   w.Lead();
   std::vector<FakeWorker*> all;
   for (int i = 1; i <= 6; ++i) all.push_back(&w.Machine("m-" + std::to_string(i), "east"));
@@ -175,10 +175,10 @@
   ASSERT_TRUE(held.Has("job-2/0"));
   w.Ask(JobOperation::kCancel, "job-1");
   w.Ask(JobOperation::kCancel, "job-2");
-  w.Pass(w.tuning.save_s * 4);
+  w.Pass(w.tuning.progress_save_s * 4);
   for (int i = 0; i < 2; ++i) {  // known to the one after the next, too
     w.Lead();
-    w.Pass(w.tuning.save_s * 4);
+    w.Pass(w.tuning.progress_save_s * 4);
   }
   w.Submit(w.Service("job-3", 3));
   w.Pass(2);
@@ -200,7 +200,7 @@
   w.Pass(1);  // their rows are written within half a second
   for (FakeWorker* m : all) m->silent = m != all[0];
   w.Lead();
-  w.Pass(w.tuning.lost_behind_cut_s - 4);
+  w.Pass(w.tuning.partition_death_s - 4);
   EXPECT_TRUE(w.cloud.returned.empty());
   w.Pass(8);
   EXPECT_EQ(w.cloud.returned.size(), 7U);
--- a/tests/trouble_test.cc
+++ b/tests/trouble_test.cc
@@ -1,7 +1,7 @@
 // Troubles that hide: what looks like life is none, and what looks gone is back.
 #include <gtest/gtest.h>
 
-#include "app/health.h"
+#include "app/health_check.h"
 #include "fakes.h"
 #include "mesh/term_freshness.h"
 
@@ -47,7 +47,7 @@
   a.deaf = true;
   w.cloud.out = true;
   // Long before its lease would end what runs there.
-  w.Pass(w.settings.lease_s / 3 + w.tuning.deaf_s + 1);
+  w.Pass(w.settings.lease_s / 3 + w.tuning.one_way_death_s + 1);
   EXPECT_FALSE(b.Has("job-1/0"));
   EXPECT_TRUE(w.cloud.returned.empty());
   w.cloud.out = false;
@@ -66,7 +66,7 @@
     m->deaf = true;
     NextSession(m);
   }
-  w.Pass(w.tuning.deaf_s * 3);
+  w.Pass(w.tuning.one_way_death_s * 3);
   EXPECT_TRUE(w.cloud.returned.empty());
   for (FakeWorker* m : all) m->deaf = false;
   w.Pass(5);
@@ -86,17 +86,17 @@
   std::vector<FakeWorker*> all;
   for (int i = 1; i <= 8; ++i) all.push_back(&w.Machine("m-" + std::to_string(i), "east"));
   for (FakeWorker* m : all) m->silent = true;
-  w.Pass(w.tuning.lost_s + 3);
+  w.Pass(w.tuning.death_s + 3);
   EXPECT_TRUE(w.cloud.returned.empty());
   for (FakeWorker* m : all) {
     m->silent = false;
     m->deaf = true;
   }
   w.Pass(2);
-  EXPECT_GT(w.leader->UnreachedFor(), 0);
+  EXPECT_GT(w.leader->UnreachableSeconds(), 0);
   for (FakeWorker* m : all) m->deaf = false;
   w.Pass(4);
-  EXPECT_EQ(w.leader->UnreachedFor(), 0);
+  EXPECT_EQ(w.leader->UnreachableSeconds(), 0);
 }
 
 // Found on an own day: of a large fleet few can be asked, so the share known to be out
@@ -106,15 +106,15 @@
   w.cloud.refuse = true;
   w.settings.max_sockets = 4000;
   w.settings.teams = {{"blue", 0, 0, 0, 0}};
-  w.tuning.message_ms = 5;  // twenty questions a second
+  w.tuning.worker_call_ms = 5;  // twenty questions a second
   w.Lead();
   for (int i = 0; i < 120; ++i) w.Machine("m-" + std::to_string(i), "east");
   w.Submit(w.Array("job-1", 120, 8));
   w.Pass(5);
   for (auto& [endpoint, m] : w.workers.at) m.silent = true;
-  w.Pass(w.tuning.lost_s + 3);
+  w.Pass(w.tuning.death_s + 3);
   EXPECT_TRUE(w.cloud.returned.empty());
-  EXPECT_GT(w.leader->UnreachedFor(), 3);
+  EXPECT_GT(w.leader->UnreachableSeconds(), 3);
 }
 
 // Eight machines in each zone; a service spread over both.
@@ -206,7 +206,7 @@
 TEST(Cut, ANewLeaderKnowsWhenTheLeasesBehindTheCutEnd) {
   TwoZones w;
   w.cloud.refuse = true;
-  w.tuning.takeover_wait_s = w.tuning.lost_behind_cut_s = 500;
+  w.tuning.failover_wait_s = w.tuning.partition_death_s = 500;
   w.Fill(8);
   w.Submit(w.Service("job-2", 8));
   w.Pass(2);
@@ -233,15 +233,15 @@
   m.silent = false;
   w.state.refuse = true;
   ++m.report.sequence;
-  EXPECT_EQ(w.leader->OnReport(m.report).status, 503);
+  EXPECT_EQ(w.leader->HandleHeartbeat(m.report).status, 503);
   w.Pass(1);
   ++m.report.sequence;
-  EXPECT_EQ(w.leader->OnReport(m.report).status, 503);
+  EXPECT_EQ(w.leader->HandleHeartbeat(m.report).status, 503);
   w.state.refuse = false;
   w.Cut(&w.east, false);
   w.Pass(1);
   ++m.report.sequence;
-  EXPECT_EQ(w.leader->OnReport(m.report).status, 200);
+  EXPECT_EQ(w.leader->HandleHeartbeat(m.report).status, 200);
   for (const auto& [key, entry] : w.state.keys) {
     EXPECT_EQ(entry.value.find("\"u\":"), std::string::npos) << entry.value;
   }
@@ -252,7 +252,7 @@
   TwoZones w;
   w.Fill(16);
   for (size_t i = 0; i < 5; ++i) w.east[i]->silent = true;
-  w.Pass(w.tuning.lost_behind_cut_s + 3);
+  w.Pass(w.tuning.partition_death_s + 3);
   EXPECT_EQ(w.cloud.returned.size(), 5U);
 }
 
@@ -270,14 +270,14 @@
   w.cloud.out = true;  // it can't be returned: its lease alone tells
   for (int i = 0; i < 26; ++i) {
     w.Pass(1);
-    w.leader->OnReport(copy);
+    w.leader->HandleHeartbeat(copy);
   }
   EXPECT_TRUE(b.Has("job-1/0"));
 }
 
 TEST(Copies, TheFirstThingANewLeaderHearsDoesNotAccountForAMachine) {
   World w;
-  w.tuning.takeover_wait_s = 500;
+  w.tuning.failover_wait_s = 500;
   w.cloud.refuse = true;
   w.Lead();
   auto& a = w.Machine("m-1", "east");
@@ -289,7 +289,7 @@
   auto& b = w.Machine("m-2", "east");
   a.silent = true;
   w.Lead();
-  w.leader->OnReport(copy);
+  w.leader->HandleHeartbeat(copy);
   w.Pass(5);
   EXPECT_FALSE(b.Has("job-1/0"));
 }
@@ -298,7 +298,7 @@
 // must neither pass for room nor stay for ever.
 TEST(Copies, OneFromAMachineThatIsGoneBlocksNothing) {
   World w;
-  w.tuning.plan_s = 0.2;
+  w.tuning.autoscale_interval_s = 0.2;
   w.Lead();
   w.workers.at["m-1:1"].silent = true;
   Heartbeat copy;
@@ -309,7 +309,7 @@
   copy.agent_epoch = 1;
   copy.sequence = 90;
   copy.fencing_token = (w.leader->term() - 1) << kTermShift;
-  w.leader->OnReport(copy);
+  w.leader->HandleHeartbeat(copy);
   w.Submit(w.Service("job-1", 1));
   w.clock.now += 0.25;
   w.Settle();
@@ -348,49 +348,49 @@
   odd.sequence += 1000;
   odd.tasks.clear();
   odd.fencing_token = UINT64_MAX;  // no controller gave it: our lease is trusted
-  w.leader->OnReport(odd);
+  w.leader->HandleHeartbeat(odd);
   EXPECT_FALSE(w.deposed);
   odd.fencing_token = a.report.fencing_token;
   odd.zone = "west";
-  w.leader->OnReport(odd);
+  w.leader->HandleHeartbeat(odd);
   w.Pass(1);
   EXPECT_EQ(a.started.size(), 1U);
-  EXPECT_EQ(w.leader->implausible_reports(), 2U);
+  EXPECT_EQ(w.leader->implausible_heartbeats(), 2U);
   w.lease.until = w.clock.now - 1;
   odd.fencing_token = (w.leader->term() + 1) << kTermShift;
-  w.leader->OnReport(odd);
+  w.leader->HandleHeartbeat(odd);
   EXPECT_TRUE(w.deposed);
 }
 
 TEST(Isolated, AHolderWithoutStateServiceAndPeersSoonIsNotHealthy) {
-  Health h("n0");
-  EXPECT_FALSE(h.Up(0));
-  h.Note(1, "n0", true, 0.1);
-  EXPECT_TRUE(h.Up(1));
-  for (const double t : Steps(1, 12, 0.5)) h.Note(t, "n0", false, t - 1);
-  EXPECT_FALSE(h.Up(12));
+  HealthCheck h("n0");
+  EXPECT_FALSE(h.IsHealthy(0));
+  h.Update(1, "n0", true, 0.1);
+  EXPECT_TRUE(h.IsHealthy(1));
+  for (const double t : Steps(1, 12, 0.5)) h.Update(t, "n0", false, t - 1);
+  EXPECT_FALSE(h.IsHealthy(12));
   // A follower that can reach neither its leader nor a peer.
-  Health f("n1");
-  f.Note(1, "n0", false, 0.1);
-  for (const double t : Steps(1, 12, 0.5)) f.Note(t, "", false, t - 1);
-  EXPECT_FALSE(f.Up(12));
+  HealthCheck f("n1");
+  f.Update(1, "n0", false, 0.1);
+  for (const double t : Steps(1, 12, 0.5)) f.Update(t, "", false, t - 1);
+  EXPECT_FALSE(f.IsHealthy(12));
   // While the others are there, a change of leaders is no reason to leave.
-  Health g("n2");
-  g.Note(1, "n0", false, 0.1);
-  for (const double t : Steps(1, 12, 0.5)) g.Note(t, "", false, 0.2);
-  EXPECT_TRUE(g.Up(12));
+  HealthCheck g("n2");
+  g.Update(1, "n0", false, 0.1);
+  for (const double t : Steps(1, 12, 0.5)) g.Update(t, "", false, 0.2);
+  EXPECT_TRUE(g.IsHealthy(12));
 }
 
 TEST(Restart, TheWordOfAProcessThatHasNotAskedTheStateServiceDoesNotProlongAHold) {
   TermFreshness quiet(2);
-  quiet.Heard(0, 10, true);
-  quiet.Heard(1, 10, true);
+  quiet.RecordPing(0, 10, true);
+  quiet.RecordPing(1, 10, true);
   EXPECT_EQ(quiet.Since(11), 10);
-  quiet.Heard(0, 20, true);
-  quiet.Heard(1, 20, false);
+  quiet.RecordPing(0, 20, true);
+  quiet.RecordPing(1, 20, false);
   EXPECT_EQ(quiet.Since(21), 10);
-  quiet.Heard(1, 22, true);
-  quiet.Heard(0, 5, true);  // held back on its way
+  quiet.RecordPing(1, 22, true);
+  quiet.RecordPing(0, 5, true);  // held back on its way
   EXPECT_EQ(quiet.Since(23), 20);
 }
 
@@ -410,7 +410,7 @@
   w.state.fail_lists_after = 2;
   w.Lead();
   w.Pass(3);
-  EXPECT_EQ(w.leader->book().active_jobs().size(), 80U);
+  EXPECT_EQ(w.leader->job_store().active_jobs().size(), 80U);
   EXPECT_EQ(a.started.size(), 80U);
   EXPECT_EQ(w.Ask(JobOperation::kGet, "job-7").tasks_running, 1U);
 }
@@ -467,7 +467,7 @@
     const std::string before = "job-" + std::to_string(i - 1);
     for (int t = 0; t < 4; ++t) a.End(before + "/" + std::to_string(t), ExitReason::kDone);
     w.Pass(2);
-    if (i * 2 < w.tuning.passed_over_s - 4) {
+    if (i * 2 < w.tuning.starvation_s - 4) {
       ASSERT_EQ(Started(a, "job-9999"), 0U) << i;
     }
   }
@@ -480,12 +480,12 @@
   Settings settings;
   settings.max_sockets = 3500;
   settings.siblings.resize(2);
-  EXPECT_GE(MostMachines(settings), 4000);
+  EXPECT_GE(MaxMachines(settings), 4000);
   settings.max_sockets = 2500;
   settings.siblings.resize(4);
-  EXPECT_GE(MostMachines(settings), 4000);
+  EXPECT_GE(MaxMachines(settings), 4000);
   settings.siblings.clear();
-  EXPECT_EQ(MostMachines(settings), ServedConnections(settings));
+  EXPECT_EQ(MaxMachines(settings), ServedConnections(settings));
 }
 
 TEST(Size, ThePlanHasNoLimitBelowWhatTheSettingsAllow) {
@@ -516,15 +516,15 @@
     w.Submit(w.Array("job-1", static_cast<uint32_t>(machines)));
     w.Pass(3);
     auto& one = w.workers.at["m-0:1"];
-    const uint64_t before = w.leader->steps();
+    const uint64_t before = w.leader->work_units();
     for (int i = 0; i < 10; ++i) {
       w.ReportNow(&one);
       w.leader->Tick();
     }
-    const uint64_t message = w.leader->steps() - before;
+    const uint64_t message = w.leader->work_units() - before;
     w.clock.now += 0.3;
     w.leader->Tick();
-    return std::make_pair(message, w.leader->steps() - before - message);
+    return std::make_pair(message, w.leader->work_units() - before - message);
   };
   const auto few = work(10);
   const auto many = work(300);
@@ -540,15 +540,15 @@
     w.cloud.refuse = true;
     w.settings.max_sockets = 4000;
     w.settings.teams = {{"blue", 0, 0, 0, 0}};
-    w.tuning.message_ms = 0.001;  // all are greeted at once
+    w.tuning.worker_call_ms = 0.001;  // all are greeted at once
     w.Lead();
     for (int i = 0; i < machines; ++i) w.Machine("m-" + std::to_string(i), "east");
     w.Submit(w.Service("job-1", static_cast<uint32_t>(machines)));
     w.Pass(3);
     w.Lead();
     w.Pass(3);
-    EXPECT_EQ(w.leader->fleet().Unaccounted(), 0U);
-    return static_cast<double>(w.leader->steps()) / machines;
+    EXPECT_EQ(w.leader->fleet().CountUnreconciled(), 0U);
+    return static_cast<double>(w.leader->work_units()) / machines;
   };
   EXPECT_LE(work(400), work(40) * 1.2);
 }
@@ -578,12 +578,12 @@
     }
     w.Pass(1);
   }
-  const JobIndex job = w.leader->book().Find("job-1");
-  ASSERT_GE(w.leader->book()[job].consecutive_failures, 3U);
+  const JobIndex job = w.leader->job_store().Find("job-1");
+  ASSERT_GE(w.leader->job_store()[job].consecutive_failures, 3U);
   w.Pass(15);  // sooner than the failures are forgotten
   EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").tasks_running, 2U);
   w.Pass(45);
-  EXPECT_EQ(w.leader->book()[job].consecutive_failures, 0U);
+  EXPECT_EQ(w.leader->job_store()[job].consecutive_failures, 0U);
 }
 
 }  // namespace
--- a/tests/user_requests_test.cc
+++ b/tests/user_requests_test.cc
@@ -1,7 +1,7 @@
 // What users meet when they ask too often, or when the leader falls silent.
 #include <gtest/gtest.h>
 
-#include "app/status_budget.h"
+#include "app/status_rate_limiter.h"
 #include "meeting_support.h"
 
 namespace deckhall {
@@ -10,13 +10,13 @@
 // The longest time without an answer of any of `jobs` jobs, all asked about every `every_s`
 // seconds for two minutes, one right after the other and always in the same order.
 double LongestWithoutAnswer(double rate, size_t jobs, double every_s) {
-  StatusBudget budget(rate);
+  StatusRateLimiter budget(rate);
   std::vector<double> answered_at(jobs, 0);
   double longest = 0;
   for (const double now : Steps(0, 120, every_s)) {
     for (size_t i = 0; i < jobs; ++i) {
       if (budget.Admit(JobName(i), now)) {
-        budget.Answered(JobName(i), true, now);
+        budget.RecordAnswer(JobName(i), true, now);
         answered_at[i] = now;
       }
       longest = std::max(longest, now - answered_at[i]);
@@ -28,8 +28,8 @@
 // A bucket alone serves whoever comes first after each refill, again and again.
 TEST(StatusBudget, NoJobIsRefusedAgainAndAgain) {
   constexpr double kRate = 20;
-  constexpr double kLasts = StatusBudget::kAnswerLasts;
-  constexpr double kUsable = kRate * (1 - StatusBudget::kKeptForOverdue);
+  constexpr double kLasts = StatusRateLimiter::kAnswerLastsSeconds;
+  constexpr double kUsable = kRate * (1 - StatusRateLimiter::kKeptForOverdue);
   EXPECT_LE(LongestWithoutAnswer(kRate, 200, 0.25), kLasts + 200 / kUsable + 0.25);
   EXPECT_LE(LongestWithoutAnswer(kRate, 400, 0.25), kLasts + 400 / kUsable + 0.25);
   EXPECT_LE(LongestWithoutAnswer(kRate, 80, 5), kLasts + 5 * 80 / kUsable + 5);
@@ -38,16 +38,17 @@
 TEST(StatusBudget, JobsThatDoNotExistDoNotCrowdOutThoseThatDo) {
   constexpr double kRate = 20;
   constexpr size_t kJobs = 100;
-  StatusBudget budget(kRate);
-  for (size_t i = 0; i < kJobs; ++i) budget.Answered(JobName(i), true, 0);
+  StatusRateLimiter budget(kRate);
+  for (size_t i = 0; i < kJobs; ++i) budget.RecordAnswer(JobName(i), true, 0);
   std::vector<bool> answered(kJobs, false);
   size_t made_up = kJobs;
-  const double from = StatusBudget::kAnswerLasts;
-  for (const double now : Steps(from, from + kJobs / kRate + StatusBudget::kCatchUp, 0.25)) {
+  const double from = StatusRateLimiter::kAnswerLastsSeconds;
+  for (const double now :
+       Steps(from, from + kJobs / kRate + StatusRateLimiter::kCatchUpSeconds, 0.25)) {
     for (int i = 0; i < 100; ++i) budget.Admit(JobName(made_up++), now);
     for (size_t i = 0; i < kJobs; ++i) {
       if (!budget.Admit(JobName(i), now)) continue;
-      budget.Answered(JobName(i), true, now);
+      budget.RecordAnswer(JobName(i), true, now);
       answered[i] = true;
     }
   }
@@ -56,14 +57,14 @@
 
 TEST(StatusBudget, RemembersNoMoreThanItAdmits) {
   constexpr double kRate = 20;
-  StatusBudget budget(kRate);
+  StatusRateLimiter budget(kRate);
   for (const double now : Steps(0, 600, 0.25)) {
     for (int i = 0; i < 100; ++i) {
       const std::string job = "job-" + std::to_string(now) + "-" + std::to_string(i);
-      if (budget.Admit(job, now)) budget.Answered(job, true, now);
+      if (budget.Admit(job, now)) budget.RecordAnswer(job, true, now);
     }
   }
-  EXPECT_LE(static_cast<double>(budget.size()), kRate * 5 * StatusBudget::kAnswerLasts);
+  EXPECT_LE(static_cast<double>(budget.size()), kRate * 5 * StatusRateLimiter::kAnswerLastsSeconds);
 }
 
 struct Asked {
@@ -79,7 +80,7 @@
   request.operation = JobOperation::kSubmit;
   request.job_id = id;
   request.job = c->Array(id, 1);
-  c->node(node)->User(request, [c, asked, from = c->now()](const JobResponse& r) {
+  c->node(node)->HandleJobRequest(request, [c, asked, from = c->now()](const JobResponse& r) {
     EXPECT_EQ(asked->status, 0) << "answered twice";
     asked->status = r.status;
     asked->error = r.error;
--- a/tests/wire_test.cc
+++ b/tests/wire_test.cc
@@ -2,7 +2,7 @@
 
 #include "wire/http_parser.h"
 #include "wire/job_codec.h"
-#include "wire/mesh_codec.h"
+#include "wire/peer_codec.h"
 #include "wire/worker_codec.h"
 
 namespace deckhall {
