--- a/src/app/controller.cc
+++ b/src/app/controller.cc
@@ -77,7 +77,7 @@
   policy_replicator_.Tick();
   if (leader_) {
     leader_->ApplyDisruptionPolicy(policy_replicator_.in_force(),
-                                   policy_replicator_.Confirmed(elected_at_));
+                                   policy_replicator_.IsConfirmed(elected_at_));
     leader_->Tick();
   }
   forwarder_.Tick();
--- a/src/app/controller.h
+++ b/src/app/controller.h
@@ -23,7 +23,7 @@
 
 struct ControllerPorts {
   KeyValueStore* key_value_store = nullptr;
-  CloudPort* cloud = nullptr;
+  CloudProvider* cloud = nullptr;
   WorkerClient* workers = nullptr;
   PeerTransport* peer_transport = nullptr;
   const Clock* clock = nullptr;
--- a/src/app/drains_command.cc
+++ b/src/app/drains_command.cc
@@ -46,10 +46,10 @@
     row.Accept(w);
     const std::string_view text(buffer.GetString(), buffer.GetSize());
     DrainProgress progress;
-    StepRecord step;
+    EvictionRecord step;
     if (DecodeProgress(text, &progress)) {
       out->drains.push_back(std::move(progress));
-    } else if (DecodeStep(text, &step)) {
+    } else if (DecodeEviction(text, &step)) {
       out->steps.push_back(std::move(step));
     }
   }
@@ -59,7 +59,7 @@
   if (records.drains.empty()) return "no drains\n";
   std::string out;
   for (const DrainProgress& d : records.drains) {
-    out += d.drain + ": " + StateWord(d.state) + " for " + Ago(wall - d.since_wall) + "; " +
+    out += d.drain + ": " + DrainStateName(d.state) + " for " + Ago(wall - d.since_wall) + "; " +
            Count(d.machines_done, "machines done, ") + Count(d.machines_left, "left; ") +
            Count(d.replicas_moved, "replicas moved, ") + Count(d.replicas_moving, "moving; ") +
            Count(d.tasks_stopped, "tasks of arrays stopped; ") +
@@ -68,7 +68,7 @@
       out += "  waits for " + Ago(wall - d.waiting_since_wall) + ": " + d.why + "\n";
     }
     if (d.state == DrainState::kDone && d.machines_done == 0) out += "  no machine matched\n";
-    for (const StepRecord& s : records.steps) {
+    for (const EvictionRecord& s : records.steps) {
       if (s.drain != d.drain) continue;
       out += "  moving " + s.job + "/" + std::to_string(s.task) + " off " + s.machine + " for " +
              Ago(wall - s.since_wall) + "\n";
--- a/src/app/drains_command.h
+++ b/src/app/drains_command.h
@@ -13,7 +13,7 @@
 // What is durable of drains.
 struct DrainRecords {
   std::vector<DrainProgress> drains;
-  std::vector<StepRecord> steps;
+  std::vector<EvictionRecord> steps;
 };
 
 // Reads the rows of one page of the row store; rows of other kinds are passed over.
--- a/src/app/policy_file.cc
+++ b/src/app/policy_file.cc
@@ -19,9 +19,9 @@
   std::string bad = ReadPolicy(text.str(), out);
   if (bad.empty()) bad = CheckPolicy(*out, settings);
   const size_t bytes = EncodePolicy(*out).size();
-  if (bad.empty() && bytes > MostPolicyBytes(settings)) {
+  if (bad.empty() && bytes > MaxPolicyBytes(settings)) {
     bad = "takes " + std::to_string(bytes) + " bytes, but a value of the state service holds " +
-          std::to_string(MostPolicyBytes(settings));
+          std::to_string(MaxPolicyBytes(settings));
   }
   return bad;
 }
--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -14,27 +14,27 @@
 
 CloudClient::CloudClient(Loop* loop, const Clock* clock, Endpoint at, double rps)
     : clock_(clock),
-      at_(std::move(at)),
+      endpoint_(std::move(at)),
       budget_(rps * 0.8, rps * 1.5),
       http_(loop, 16, kMaxResponseBytes),
-      refuse_(loop, [this] {
-        for (auto& done : std::exchange(refused_, {})) done(HttpResult());
+      refusal_timer_(loop, [this] {
+        for (auto& done : std::exchange(refused_calls_, {})) done(HttpResult());
       }) {}
 
-void CloudClient::Ask(const HttpCall& call, double reserve, HttpClient::Done done) {
+void CloudClient::Send(const HttpCall& call, double reserve, HttpClient::Done done) {
   if (!budget_.Take(clock_->Now(), 1, reserve)) {
-    refused_.push_back(std::move(done));
-    if (!refuse_.active()) refuse_.Start(0.05);
+    refused_calls_.push_back(std::move(done));
+    if (!refusal_timer_.active()) refusal_timer_.Start(0.05);
     return;
   }
-  http_.Call(at_, call, [this, done = std::move(done)](HttpResult r) {
+  http_.Call(endpoint_, call, [this, done = std::move(done)](HttpResult r) {
     if (r.status == 429) budget_.Drain();
     done(std::move(r));
   });
 }
 
-void CloudClient::Types(std::function<void(bool, std::vector<MachineType>)> done) {
-  Ask({"GET", "/flavors", "", kTimeout}, 1, [done = std::move(done)](const HttpResult& r) {
+void CloudClient::ListTypes(std::function<void(bool, std::vector<MachineType>)> done) {
+  Send({"GET", "/flavors", "", kTimeout}, 1, [done = std::move(done)](const HttpResult& r) {
     std::vector<MachineType> types;
     const bool ok = r.status == 200 && DecodeTypes(r.body, &types);
     if (r.status == 200 && !ok) spdlog::warn("cloud: unusable machine types");
@@ -42,35 +42,38 @@
   });
 }
 
-void CloudClient::Rent(const std::string& request, const std::string& type, const std::string& zone,
-                       bool spot, int count, std::function<void(RentAnswer)> done) {
-  Ask({"POST", "/machines", EncodeScaleOut(request, type, zone, spot, count), kTimeout}, 0,
-      [done = std::move(done)](const HttpResult& r) {
-        RentAnswer answer;
-        answer.ok = r.status == 200 && DecodeScaleOutResponse(r.body, &answer.machines);
-        answer.refused = r.status == 503 && r.body.find("no capacity") != std::string::npos;
-        answer.malformed = r.status == 400;
-        if (r.status == 200 && !answer.ok) spdlog::warn("cloud: unusable answer to a rental");
-        if (answer.malformed) spdlog::error("cloud: rental refused as malformed");
-        done(std::move(answer));
-      });
+void CloudClient::ScaleOut(const std::string& request, const std::string& type,
+                           const std::string& zone, bool spot, int count,
+                           std::function<void(ScaleOutResponse)> done) {
+  Send({"POST", "/machines", EncodeScaleOut(request, type, zone, spot, count), kTimeout}, 0,
+       [done = std::move(done)](const HttpResult& r) {
+         ScaleOutResponse answer;
+         answer.ok = r.status == 200 && DecodeScaleOutResponse(r.body, &answer.machines);
+         answer.out_of_capacity =
+             r.status == 503 && r.body.find("no capacity") != std::string::npos;
+         answer.malformed = r.status == 400;
+         if (r.status == 200 && !answer.ok) spdlog::warn("cloud: unusable answer to a rental");
+         if (answer.malformed) spdlog::error("cloud: rental refused as malformed");
+         done(std::move(answer));
+       });
 }
 
-void CloudClient::Return(const std::vector<std::string>& machines, std::function<void(bool)> done) {
-  Ask({"POST", "/machines/return", EncodeScaleIn(machines), kTimeout}, 0,
-      [done = std::move(done)](const HttpResult& r) { done(r.status == 200); });
+void CloudClient::ScaleIn(const std::vector<std::string>& machines,
+                          std::function<void(bool)> done) {
+  Send({"POST", "/machines/return", EncodeScaleIn(machines), kTimeout}, 0,
+       [done = std::move(done)](const HttpResult& r) { done(r.status == 200); });
 }
 
-void CloudClient::List(const std::string& after,
-                       std::function<void(bool, std::vector<CloudInstance>, bool)> done) {
-  Ask({"GET", InstanceListPath(after, 500), "", kTimeout}, 1,
-      [done = std::move(done)](const HttpResult& r) {
-        std::vector<CloudInstance> rows;
-        bool truncated = false;
-        const bool ok = r.status == 200 && DecodeInstanceList(r.body, &rows, &truncated);
-        if (r.status == 200 && !ok) spdlog::warn("cloud: unusable machine list");
-        done(ok, std::move(rows), truncated);
-      });
+void CloudClient::ListInstances(const std::string& after,
+                                std::function<void(bool, std::vector<CloudInstance>, bool)> done) {
+  Send({"GET", InstanceListPath(after, 500), "", kTimeout}, 1,
+       [done = std::move(done)](const HttpResult& r) {
+         std::vector<CloudInstance> rows;
+         bool truncated = false;
+         const bool ok = r.status == 200 && DecodeInstanceList(r.body, &rows, &truncated);
+         if (r.status == 200 && !ok) spdlog::warn("cloud: unusable machine list");
+         done(ok, std::move(rows), truncated);
+       });
 }
 
 }  // namespace deckhall
--- a/src/cloud/rentals.cc
+++ b/src/cloud/provisioner.cc
@@ -1,4 +1,4 @@
-#include "cloud/rentals.h"
+#include "cloud/provisioner.h"
 
 #include <spdlog/spdlog.h>
 
@@ -7,10 +7,10 @@
 namespace deckhall {
 namespace {
 
-constexpr size_t kMostReturned = 100;
-constexpr int kMostRented = 50;
+constexpr size_t kMaxScaleInBatch = 100;
+constexpr int kMaxScaleOutBatch = 50;
 
-std::string TypesText(const std::vector<MachineType>& types) {
+std::string EncodeTypes(const std::vector<MachineType>& types) {
   rapidjson::StringBuffer buffer;
   JsonWriter w(buffer);
   w.SetMaxDecimalPlaces(5);
@@ -43,7 +43,7 @@
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-std::vector<MachineType> ReadTypes(const JsonValue& rows) {
+std::vector<MachineType> DecodeTypesRecord(const JsonValue& rows) {
   std::vector<MachineType> types;
   if (!rows.IsArray()) return types;
   for (const auto& row : rows.GetArray()) {
@@ -75,8 +75,9 @@
 
 }  // namespace
 
-Rentals::Rentals(CloudPort* cloud, RecordStore* record_store, Fleet* fleet, JobStore* job_store,
-                 const Clock* clock, uint64_t term, RentalOptions options)
+Provisioner::Provisioner(CloudProvider* cloud, RecordStore* record_store, Fleet* fleet,
+                         JobStore* job_store, const Clock* clock, uint64_t term,
+                         ProvisionerOptions options)
     : cloud_(cloud),
       record_store_(record_store),
       fleet_(fleet),
@@ -85,13 +86,13 @@
       term_(term),
       options_(options) {}
 
-bool Rentals::LoadRow(RecordId row, const std::string& text) {
+bool Provisioner::LoadRecord(RecordId row, const std::string& text) {
   rapidjson::Document doc;
   if (!ParseJson(text, &doc) || !doc.IsObject()) return false;
   std::string name;
   if (const JsonValue* rows = JsonMember(doc, "T")) {
-    types_row_ = row;
-    SetTypes(ReadTypes(*rows));
+    types_record_ = row;
+    SetTypes(DecodeTypesRecord(*rows));
     return true;
   }
   if (JsonString(doc, "m", &name)) {
@@ -112,25 +113,25 @@
     return true;
   }
   if (JsonString(doc, "r", &name)) {
-    auto intent = std::make_unique<Intent>();
-    intent->request = name;
-    intent->row = row;
-    intent->old = true;
+    auto intent = std::make_unique<ScaleOutRequest>();
+    intent->request_id = name;
+    intent->record_id = row;
+    intent->from_earlier_term = true;
     JsonString(doc, "c", &intent->type);
     JsonString(doc, "z", &intent->zone);
     JsonBool(doc, "sp", &intent->spot);
     uint64_t count = 0;
     JsonU64(doc, "n", &count);
-    intent->count = static_cast<int>(std::min<uint64_t>(count, kMostRented));
-    intents_.push_back(std::move(intent));
+    intent->count = static_cast<int>(std::min<uint64_t>(count, kMaxScaleOutBatch));
+    requests_.push_back(std::move(intent));
     return true;
   }
   return false;
 }
 
-void Rentals::Start() { started_at_ = next_list_ = next_types_ = clock_->Now(); }
+void Provisioner::Start() { started_at_ = next_list_at_ = next_types_at_ = clock_->Now(); }
 
-void Rentals::SetTypes(std::vector<MachineType> types) {
+void Provisioner::SetTypes(std::vector<MachineType> types) {
   types_ = std::move(types);
   type_of_.clear();
   for (const auto& t : types_) {
@@ -139,15 +140,15 @@
     type_of_[at] = &t;
   }
   fleet_->InvalidateAllCapacity();
-  std::vector<Pool> pools;
+  std::vector<MachinePool> pools;
   for (const auto& t : types_) {
     for (const auto& z : t.zones) {
       for (const bool spot : {false, true}) {
-        Pool pool;
+        MachinePool pool;
         pool.type = job_store_->types.Add(t.name);
         pool.zone = job_store_->zones.Add(z);
         pool.spot = spot;
-        for (const Pool& old : pools_) {
+        for (const MachinePool& old : pools_) {
           if (old.type == pool.type && old.zone == pool.zone && old.spot == spot) pool = old;
         }
         pools.push_back(pool);
@@ -157,23 +158,23 @@
   pools_ = std::move(pools);
 }
 
-const MachineType* Rentals::TypeOf(uint32_t type) const {
+const MachineType* Provisioner::TypeOf(uint32_t type) const {
   return type < type_of_.size() ? type_of_[type] : nullptr;
 }
 
-Pool* Rentals::PoolOf(const std::string& type, const std::string& zone, bool spot) {
+MachinePool* Provisioner::FindPool(const std::string& type, const std::string& zone, bool spot) {
   const uint32_t t = job_store_->types.Find(type);
   const uint32_t z = job_store_->zones.Find(zone);
-  for (Pool& p : pools_) {
+  for (MachinePool& p : pools_) {
     if (p.type == t && p.zone == z && p.spot == spot) return &p;
   }
   return nullptr;
 }
 
-int Rentals::Pending(uint32_t pool) const {
-  const Pool& p = pools_[pool];
+int Provisioner::PendingMachines(uint32_t pool) const {
+  const MachinePool& p = pools_[pool];
   int sum = 0;
-  for (const auto& i : intents_) {
+  for (const auto& i : requests_) {
     if (i->spot == p.spot && i->type == job_store_->types[p.type] &&
         i->zone == job_store_->zones[p.zone]) {
       sum += i->count;
@@ -182,11 +183,11 @@
   return sum;
 }
 
-std::string Rentals::IntentText(const Intent& intent) const {
+std::string Provisioner::EncodeRequest(const ScaleOutRequest& intent) const {
   rapidjson::StringBuffer buffer;
   JsonWriter w(buffer);
   w.StartObject();
-  PutString(w, "r", intent.request);
+  PutString(w, "r", intent.request_id);
   PutString(w, "c", intent.type);
   PutString(w, "z", intent.zone);
   w.Key("sp");
@@ -197,54 +198,57 @@
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-void Rentals::Rent(uint32_t pool, int count, const std::string& why) {
-  if (count > kMostRented) {
-    Rent(pool, count - kMostRented, why);
-    count = kMostRented;
+void Provisioner::ScaleOut(uint32_t pool, int count, const std::string& why) {
+  if (count > kMaxScaleOutBatch) {
+    ScaleOut(pool, count - kMaxScaleOutBatch, why);
+    count = kMaxScaleOutBatch;
   }
-  const Pool& p = pools_[pool];
-  auto intent = std::make_unique<Intent>();
+  const MachinePool& p = pools_[pool];
+  auto intent = std::make_unique<ScaleOutRequest>();
   // The term in the name: no other leader can ever use it again.
-  intent->request = "r-" + std::to_string(term_) + "-" + std::to_string(next_request_++);
+  intent->request_id = "r-" + std::to_string(term_) + "-" + std::to_string(next_request_number_++);
   intent->type = job_store_->types[p.type];
   intent->zone = job_store_->zones[p.zone];
   intent->spot = p.spot;
   intent->count = count;
   spdlog::info("renting {} {}{} in {} ({}): {}", intent->count, intent->type,
-               p.spot ? " (spot)" : "", intent->zone, intent->request, why);
-  const std::string text = IntentText(*intent);
-  intent->row = record_store_->Add(text, text.size(), WritePriority::kImmediate);
-  intents_.push_back(std::move(intent));
+               p.spot ? " (spot)" : "", intent->zone, intent->request_id, why);
+  const std::string text = EncodeRequest(*intent);
+  intent->record_id = record_store_->Add(text, text.size(), WritePriority::kImmediate);
+  requests_.push_back(std::move(intent));
 }
 
-void Rentals::Ask(Intent* intent) {
-  intent->asked = true;
-  cloud_->Rent(intent->request, intent->type, intent->zone, intent->spot, intent->count,
-               [this, request = intent->request](const RentAnswer& a) { Rented(request, a); });
+void Provisioner::SendScaleOut(ScaleOutRequest* intent) {
+  intent->in_flight = true;
+  cloud_->ScaleOut(intent->request_id, intent->type, intent->zone, intent->spot, intent->count,
+                   [this, request = intent->request_id](const ScaleOutResponse& a) {
+                     HandleScaleOutResponse(request, a);
+                   });
 }
 
-void Rentals::Rented(const std::string& request, const RentAnswer& answer) {
-  auto it = std::find_if(intents_.begin(), intents_.end(),
-                         [&request](const auto& i) { return i->request == request; });
-  if (it == intents_.end()) return;
-  Intent& intent = **it;
+void Provisioner::HandleScaleOutResponse(const std::string& request,
+                                         const ScaleOutResponse& answer) {
+  auto it = std::find_if(requests_.begin(), requests_.end(),
+                         [&request](const auto& i) { return i->request_id == request; });
+  if (it == requests_.end()) return;
+  ScaleOutRequest& intent = **it;
   const double now = clock_->Now();
-  intent.asked = false;
-  if (!answer.ok && !answer.refused && !answer.malformed) {
+  intent.in_flight = false;
+  if (!answer.ok && !answer.out_of_capacity && !answer.malformed) {
     // Carried out or not: the same name asks again, and rents nothing twice.
-    intent.retry_at = now + 1.0;
+    intent.retry_after = now + 1.0;
     return;
   }
   const auto got = static_cast<int>(answer.machines.size());
-  if (Pool* pool = PoolOf(intent.type, intent.zone, intent.spot)) {
+  if (MachinePool* pool = FindPool(intent.type, intent.zone, intent.spot)) {
     if (got < intent.count) {
-      pool->refusal_s =
-          std::clamp(pool->refusal_s * 2, options_.refusal_s, options_.refusal_most_s);
-      pool->refused_until = now + pool->refusal_s;
+      pool->backoff_s =
+          std::clamp(pool->backoff_s * 2, options_.min_backoff_s, options_.max_backoff_s);
+      pool->backoff_until = now + pool->backoff_s;
       spdlog::info("{} {}{}: {} of {} to be had, not asked again for {} s", intent.zone,
-                   intent.type, intent.spot ? " (spot)" : "", got, intent.count, pool->refusal_s);
+                   intent.type, intent.spot ? " (spot)" : "", got, intent.count, pool->backoff_s);
     } else {
-      pool->refusal_s = 0;
+      pool->backoff_s = 0;
     }
   }
   for (const std::string& name : answer.machines) {
@@ -262,12 +266,12 @@
     m.capacity_stale = true;
     SaveMachine(mi, WritePriority::kImmediate);
   }
-  record_store_->Remove(intent.row);
-  intents_.erase(it);
+  record_store_->Remove(intent.record_id);
+  requests_.erase(it);
   fleet_->placement_needed = true;
 }
 
-void Rentals::SaveMachine(MachineIndex mi, WritePriority urgency) {
+void Provisioner::SaveMachine(MachineIndex mi, WritePriority urgency) {
   Machine& m = (*fleet_)[mi];
   rapidjson::StringBuffer buffer;
   JsonWriter w(buffer);
@@ -295,7 +299,7 @@
   }
 }
 
-MachineIndex Rentals::Unexpected(const Heartbeat& r) {
+MachineIndex Provisioner::AddUnexpectedMachine(const Heartbeat& r) {
   const MachineIndex mi = fleet_->Add(r.machine);
   Machine& m = (*fleet_)[mi];
   m.type = job_store_->types.Add(r.type);
@@ -308,30 +312,30 @@
   return mi;
 }
 
-void Rentals::Return(MachineIndex mi, const char* why) {
+void Provisioner::ScaleIn(MachineIndex mi, const char* why) {
   Machine& m = (*fleet_)[mi];
   if (m.scaling_in || m.removed) return;
   m.scaling_in = m.unschedulable = true;
-  next_return_ = std::min(next_return_, clock_->Now());
+  next_scale_in_at_ = std::min(next_scale_in_at_, clock_->Now());
   spdlog::info("returning machine {}: {}", m.name, why);
 }
 
-void Rentals::SendReturns() {
+void Provisioner::SendScaleIn() {
   std::vector<std::string> names;
   std::vector<MachineIndex> which;
   for (MachineIndex i : fleet_->active()) {
     const Machine& m = (*fleet_)[i];
-    if (names.size() >= kMostReturned) break;
+    if (names.size() >= kMaxScaleInBatch) break;
     if (!m.scaling_in) continue;
     names.push_back(m.name);
     which.push_back(i);
   }
   if (names.empty()) return;
-  returning_ = true;
-  cloud_->Return(names, [this, which](bool ok) {
-    returning_ = false;
+  scale_in_in_flight_ = true;
+  cloud_->ScaleIn(names, [this, which](bool ok) {
+    scale_in_in_flight_ = false;
     // More are waiting: what may run on them is held up until they are gone.
-    next_return_ = clock_->Now() + (ok && which.size() == kMostReturned ? 0.05 : 0.5);
+    next_scale_in_at_ = clock_->Now() + (ok && which.size() == kMaxScaleInBatch ? 0.05 : 0.5);
     if (!ok) return;
     for (MachineIndex i : which) {
       Machine& m = (*fleet_)[i];
@@ -342,52 +346,53 @@
   });
 }
 
-void Rentals::AskTypes() {
-  asking_types_ = true;
-  cloud_->Types([this](bool ok, std::vector<MachineType> types) {
-    asking_types_ = false;
-    next_types_ = clock_->Now() + (ok ? options_.types_every_s : 1.0);
+void Provisioner::RefreshTypes() {
+  types_in_flight_ = true;
+  cloud_->ListTypes([this](bool ok, std::vector<MachineType> types) {
+    types_in_flight_ = false;
+    next_types_at_ = clock_->Now() + (ok ? options_.types_interval_s : 1.0);
     if (!ok) return;
     const bool first = types_.empty();
     SetTypes(std::move(types));
-    std::string text = TypesText(types_);
+    std::string text = EncodeTypes(types_);
     const size_t reserve = text.size() + 64;
-    if (types_row_ == kNoRecord) {
-      types_row_ = record_store_->Add(std::move(text), reserve, WritePriority::kBackground);
+    if (types_record_ == kNoRecord) {
+      types_record_ = record_store_->Add(std::move(text), reserve, WritePriority::kBackground);
     } else if (first) {
-      record_store_->Update(types_row_, std::move(text), reserve, WritePriority::kBackground);
+      record_store_->Update(types_record_, std::move(text), reserve, WritePriority::kBackground);
     }
     fleet_->placement_needed = true;
   });
 }
 
-void Rentals::AskList(const std::string& after) {
-  listing_ = true;
-  cloud_->List(after, [this](bool ok, const std::vector<CloudInstance>& rows, bool truncated) {
-    listing_ = false;
-    next_list_ = clock_->Now() + options_.list_every_s;
-    if (!ok) {
-      next_list_ = clock_->Now() + 1.0;
-      return;
-    }
-    Listed(rows);
-    if (truncated && !rows.empty()) AskList(rows.back().name);
-  });
+void Provisioner::RefreshInstances(const std::string& after) {
+  list_in_flight_ = true;
+  cloud_->ListInstances(after,
+                        [this](bool ok, const std::vector<CloudInstance>& rows, bool truncated) {
+                          list_in_flight_ = false;
+                          next_list_at_ = clock_->Now() + options_.list_interval_s;
+                          if (!ok) {
+                            next_list_at_ = clock_->Now() + 1.0;
+                            return;
+                          }
+                          ApplyInstanceList(rows);
+                          if (truncated && !rows.empty()) RefreshInstances(rows.back().name);
+                        });
 }
 
-void Rentals::Listed(const std::vector<CloudInstance>& rows) {
+void Provisioner::ApplyInstanceList(const std::vector<CloudInstance>& rows) {
   for (const CloudInstance& row : rows) {
     MachineIndex mi = fleet_->Find(row.name);
     if (mi == kNoIndex) {
       if (row.state == InstanceState::kFailed) {
         mi = fleet_->Add(row.name);
         (*fleet_)[mi].reconciled = true;
-        Return(mi, "failed, and not known here");
+        ScaleIn(mi, "failed, and not known here");
         continue;
       }
       // A rental whose answer is still on its way names it soon; but on a large
       // fleet there is always one.
-      if (Renting() && row.age_s < options_.list_lag_s * 3) continue;
+      if (HasPendingRequests() && row.age_s < options_.list_lag_s * 3) continue;
       // The list may be older than this term: a machine that the former leader
       // returned is still on it. One that is there reports anyway.
       if (clock_->Now() - started_at_ < options_.list_lag_s * 2 + 1) continue;
@@ -410,23 +415,24 @@
     if (row.state == InstanceState::kFailed) {
       fleet_->ReleaseAttempts(mi, "the machine failed");
       fleet_->MarkReconciled(mi);
-      Return(mi, "failed");
+      ScaleIn(mi, "failed");
     }
   }
 }
 
-void Rentals::Tick(bool trusted) {
+void Provisioner::Tick(bool trusted) {
   const double now = clock_->Now();
   if (!trusted) return;
-  for (auto& intent : intents_) {
+  for (auto& intent : requests_) {
     // Durable before the cloud hears of it, or its machines could be forgotten.
-    if (!intent->asked && now >= intent->retry_at && record_store_->IsDurable(intent->row)) {
-      Ask(intent.get());
+    if (!intent->in_flight && now >= intent->retry_after &&
+        record_store_->IsDurable(intent->record_id)) {
+      SendScaleOut(intent.get());
     }
   }
-  if (!returning_ && now >= next_return_) SendReturns();
-  if (!asking_types_ && now >= next_types_) AskTypes();
-  if (!listing_ && now >= next_list_) AskList("");
+  if (!scale_in_in_flight_ && now >= next_scale_in_at_) SendScaleIn();
+  if (!types_in_flight_ && now >= next_types_at_) RefreshTypes();
+  if (!list_in_flight_ && now >= next_list_at_) RefreshInstances("");
 }
 
 }  // namespace deckhall
--- /dev/null
+++ b/src/cloud/provisioner.h
@@ -0,0 +1,102 @@
+// Machines in the cloud: rents them, learns of them, returns them.
+#pragma once
+
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "cloud/cloud_provider.h"
+#include "fleet/fleet.h"
+
+namespace deckhall {
+
+struct ProvisionerOptions {
+  double list_interval_s = 4;
+  double list_lag_s = 8;
+  double types_interval_s = 45;
+  double min_backoff_s = 6;  // a pool that refused is left alone this long, doubling
+  double max_backoff_s = 30;
+};
+
+// A type in a zone, ordinary or spot.
+struct MachinePool {
+  uint32_t type = 0;
+  uint32_t zone = 0;
+  bool spot = false;
+  double backoff_until = 0;
+  double backoff_s = 0;
+};
+
+class Provisioner {
+ public:
+  Provisioner(CloudProvider* cloud, RecordStore* record_store, Fleet* fleet, JobStore* job_store,
+              const Clock* clock, uint64_t term, ProvisionerOptions options);
+
+  // Reads one row if it is one of ours.
+  bool LoadRecord(RecordId row, const std::string& text);
+  // What was rented for an earlier leader is asked for once more, by name.
+  void Start();
+  void Tick(bool trusted);
+
+  bool types_known() const { return !types_.empty(); }
+  const std::vector<MachineType>& types() const { return types_; }
+  std::vector<MachinePool>& pools() { return pools_; }
+  // Index in types() by the book's name index; kNone if not offered.
+  const MachineType* TypeOf(uint32_t type) const;
+  // Machines asked for and not named yet.
+  int PendingMachines(uint32_t pool) const;
+  bool HasPendingRequests() const { return !requests_.empty(); }
+
+  void ScaleOut(uint32_t pool, int count, const std::string& why);
+  void ScaleIn(MachineIndex m, const char* why);
+  // A machine reported that nobody knows.
+  MachineIndex AddUnexpectedMachine(const Heartbeat& report);
+  // Keeps what is known of a machine; false until that is durable.
+  void SaveMachine(MachineIndex m, WritePriority urgency);
+
+ private:
+  struct ScaleOutRequest {
+    std::string request_id;
+    std::string type;
+    std::string zone;
+    bool spot = false;
+    int count = 0;
+    RecordId record_id = kNoRecord;
+    bool in_flight = false;
+    bool from_earlier_term = false;
+    double retry_after = 0;
+  };
+
+  void SetTypes(std::vector<MachineType> types);
+  std::string EncodeRequest(const ScaleOutRequest& intent) const;
+  void SendScaleOut(ScaleOutRequest* intent);
+  void HandleScaleOutResponse(const std::string& request, const ScaleOutResponse& answer);
+  void SendScaleIn();
+  void RefreshTypes();
+  void RefreshInstances(const std::string& after);
+  void ApplyInstanceList(const std::vector<CloudInstance>& rows);
+  MachinePool* FindPool(const std::string& type, const std::string& zone, bool spot);
+
+  CloudProvider* cloud_;
+  RecordStore* record_store_;
+  Fleet* fleet_;
+  JobStore* job_store_;
+  const Clock* clock_;
+  uint64_t term_;
+  ProvisionerOptions options_;
+  std::vector<MachineType> types_;
+  RecordId types_record_ = kNoRecord;
+  std::vector<const MachineType*> type_of_;  // by the book's name index
+  std::vector<MachinePool> pools_;
+  std::vector<std::unique_ptr<ScaleOutRequest>> requests_;
+  uint64_t next_request_number_ = 1;
+  double next_list_at_ = 0;
+  double next_types_at_ = 0;
+  double next_scale_in_at_ = 0;
+  bool list_in_flight_ = false;
+  bool types_in_flight_ = false;
+  bool scale_in_in_flight_ = false;
+  double started_at_ = 0;
+};
+
+}  // namespace deckhall
--- a/src/drain/wait_reason.cc
+++ b/src/drain/blocked_reason.cc
@@ -1,49 +1,49 @@
-#include "drain/wait_reason.h"
+#include "drain/blocked_reason.h"
 
 namespace deckhall {
 
-std::string Words(const Wait& wait) {
+std::string Describe(const BlockedState& wait) {
   const std::string& what = wait.subject;
   switch (wait.reason) {
-    case WaitReason::kNothing:
+    case BlockedReason::kNotBlocked:
       return "";
-    case WaitReason::kPaused:
+    case BlockedReason::kPaused:
       return "paused";
-    case WaitReason::kPolicyNotRead:
+    case BlockedReason::kPolicyNotRead:
       return "the policy in force was not read from the state service yet";
-    case WaitReason::kTakingOver:
+    case BlockedReason::kTakingOver:
       return "a new leader does not know yet where " + what + " runs";
-    case WaitReason::kBudget:
+    case BlockedReason::kBudget:
       return "the budget allows no more down: " + what;
-    case WaitReason::kStopBudget:
+    case BlockedReason::kStopBudget:
       return "the budget allows no more stopped tasks: " + what;
-    case WaitReason::kLastReplica:
+    case BlockedReason::kLastReplica:
       return "no other replica of " + what + " is up";
-    case WaitReason::kReplacementLate:
+    case BlockedReason::kReplacementLate:
       return "a replacement of " + what + " does not become healthy";
-    case WaitReason::kNoPlace:
+    case BlockedReason::kNoPlace:
       return "no machine has room for a replacement of " + what;
-    case WaitReason::kNoImage:
+    case BlockedReason::kNoImage:
       return "room for a replacement of " + what + " is only where its image is missing";
-    case WaitReason::kZoneRule:
+    case BlockedReason::kZoneRule:
       return "one_zone or apart leave no zone for a replacement of " + what;
-    case WaitReason::kReplicaStarting:
+    case BlockedReason::kReplicaStarting:
       return what + " is not up yet";
-    case WaitReason::kUnknownType:
+    case BlockedReason::kUnknownType:
       return "the cloud offers no machine type " + what;
-    case WaitReason::kMachineSilent:
+    case BlockedReason::kMachineSilent:
       return "machine " + what + " does not answer";
-    case WaitReason::kArraysRunning:
+    case BlockedReason::kArraysRunning:
       return "tasks of arrays run to their end: " + what;
-    case WaitReason::kStepsAtOnce:
+    case BlockedReason::kStepsAtOnce:
       return "as many steps are in flight as there may be";
-    case WaitReason::kStateService:
+    case BlockedReason::kStateService:
       return "a step is not written to the state service yet";
-    case WaitReason::kReturning:
+    case BlockedReason::kReturning:
       return "empty machines are to be returned to the cloud";
-    case WaitReason::kStopping:
+    case BlockedReason::kStopping:
       return "tasks are being stopped on " + what;
-    case WaitReason::kReplacing:
+    case BlockedReason::kReplacing:
       return "replacements are being started: " + what;
   }
   return "";
--- a/src/drain/wait_reason.h
+++ b/src/drain/blocked_reason.h
@@ -6,8 +6,8 @@
 
 namespace deckhall {
 
-enum class WaitReason : uint8_t {
-  kNothing,
+enum class BlockedReason : uint8_t {
+  kNotBlocked,
   kPaused,           // the drain is paused
   kPolicyNotRead,    // the state service has not told this leader the policy in force
   kTakingOver,       // it is not known yet what runs where
@@ -30,15 +30,15 @@
 };
 
 // A reason with what it is about: a team, a job, or a machine.
-struct Wait {
-  WaitReason reason = WaitReason::kNothing;
+struct BlockedState {
+  BlockedReason reason = BlockedReason::kNotBlocked;
   std::string subject;
 
-  explicit operator bool() const { return reason != WaitReason::kNothing; }
-  bool operator==(const Wait&) const = default;
+  explicit operator bool() const { return reason != BlockedReason::kNotBlocked; }
+  bool operator==(const BlockedState&) const = default;
 };
 
 // The reason in words.
-std::string Words(const Wait& wait);
+std::string Describe(const BlockedState& wait);
 
 }  // namespace deckhall
--- a/src/drain/disruption_ledger.cc
+++ b/src/drain/disruption_ledger.cc
@@ -8,7 +8,7 @@
                                    double overdue_s)
     : job_store_(job_store), fleet_(fleet), clock_(clock), overdue_s_(overdue_s) {}
 
-void DisruptionLedger::Use(std::shared_ptr<const DisruptionPolicy> policy, bool confirmed) {
+void DisruptionLedger::ApplyPolicy(std::shared_ptr<const DisruptionPolicy> policy, bool confirmed) {
   confirmed_ = confirmed;
   if (policy == policy_) return;
   const bool first = policy_ == nullptr;
@@ -23,12 +23,12 @@
   std::map<std::pair<std::string, std::string>, std::deque<double>> stops;
   for (const auto& [key, at] : account_index_) stops[key] = std::move(accounts_[at].stops);
   // Only this term's first replicas are known never to have run.
-  std::map<JobIndex, Known> known = std::exchange(jobs_, {});
+  std::map<JobIndex, CountedJob> known = std::exchange(jobs_, {});
   std::vector<std::pair<JobIndex, uint32_t>> ran;
   std::vector<std::pair<JobIndex, uint32_t>> held;
   for (const auto& [j, job] : known) {
-    for (uint32_t t = 0; t < job.count; ++t) {
-      const uint32_t number = job.first + t;
+    for (uint32_t t = 0; t < job.replica_count; ++t) {
+      const uint32_t number = job.first_replica + t;
       if (!job.accounts.empty() && accounts_[job.accounts[0]].expected.contains(number)) {
         ran.emplace_back(j, t);
       }
@@ -37,10 +37,10 @@
   }
   accounts_.clear();
   account_index_.clear();
-  job_at_.clear();
+  job_by_first_replica_.clear();
   settles_.clear();
   changed_ = available_ = held_ = Roaring();
-  next_number_ = 0;
+  next_replica_ = 0;
   for (const DisruptionBudget& budget : policy_->budgets) {
     Account& account = accounts_[AccountFor(budget.team, budget.job_class)];
     if (budget.down) account.down = budget.down;
@@ -56,9 +56,9 @@
   for (const auto& [j, task] : ran) {
     auto it = jobs_.find(j);
     if (it == jobs_.end()) continue;
-    for (size_t a : it->second.accounts) accounts_[a].expected.add(it->second.first + task);
+    for (size_t a : it->second.accounts) accounts_[a].expected.add(it->second.first_replica + task);
   }
-  for (const auto& [j, task] : held) Hold(j, task);
+  for (const auto& [j, task] : held) ReserveDisruption(j, task);
 }
 
 size_t DisruptionLedger::AccountFor(const std::string& team, const std::string& job_class) {
@@ -82,15 +82,16 @@
 void DisruptionLedger::AddJob(JobIndex j, bool may_have_run) {
   const Job& job = (*job_store_)[j];
   if (!job.has_spec || job.lifecycle != JobLifecycle::kActive || jobs_.contains(j)) return;
-  Known known;
+  CountedJob known;
   known.accounts = AccountsOf(job);
   if (job.spec.service) {
-    known.first = next_number_;
-    known.count = static_cast<uint32_t>(job.tasks.size());
+    known.first_replica = next_replica_;
+    known.replica_count = static_cast<uint32_t>(job.tasks.size());
     known.may_have_run = may_have_run;
-    next_number_ += known.count;
-    job_at_[known.first] = j;
-    changed_.addRange(known.first, static_cast<uint64_t>(known.first) + known.count);
+    next_replica_ += known.replica_count;
+    job_by_first_replica_[known.first_replica] = j;
+    changed_.addRange(known.first_replica,
+                      static_cast<uint64_t>(known.first_replica) + known.replica_count);
   }
   jobs_[j] = std::move(known);
 }
@@ -98,8 +99,8 @@
 void DisruptionLedger::RemoveJob(JobIndex j) {
   auto it = jobs_.find(j);
   if (it == jobs_.end()) return;
-  const Known& known = it->second;
-  for (uint32_t n = known.first; n < known.first + known.count; ++n) {
+  const CountedJob& known = it->second;
+  for (uint32_t n = known.first_replica; n < known.first_replica + known.replica_count; ++n) {
     for (size_t a : known.accounts) {
       accounts_[a].expected.remove(n);
       accounts_[a].unavailable.remove(n);
@@ -108,7 +109,7 @@
     available_.remove(n);
     held_.remove(n);
   }
-  if (known.count > 0) job_at_.erase(known.first);
+  if (known.replica_count > 0) job_by_first_replica_.erase(known.first_replica);
   jobs_.erase(it);
 }
 
@@ -124,7 +125,8 @@
 void DisruptionLedger::ReplicaChanged(JobIndex j, uint32_t task) {
   if (!active()) return;
   auto it = jobs_.find(j);
-  if (it != jobs_.end() && task < it->second.count) changed_.add(it->second.first + task);
+  if (it != jobs_.end() && task < it->second.replica_count)
+    changed_.add(it->second.first_replica + task);
 }
 
 void DisruptionLedger::ArrayTaskStopped(JobIndex j) {
@@ -136,7 +138,7 @@
   }
 }
 
-bool DisruptionLedger::InDoubt(const Machine& m) const {
+bool DisruptionLedger::IsInDoubt(const Machine& m) const {
   return !m.reconciled || m.partitioned || m.scaling_in || m.preemption_at >= 0 ||
          m.unreachable_count > 0 || m.probe_failures > 0 || m.unreachable_since >= 0 ||
          clock_->Now() - m.last_heard_at > overdue_s_;
@@ -145,7 +147,7 @@
 void DisruptionLedger::RefreshDoubts() {
   for (MachineIndex mi : fleet_->active()) {
     const Machine& m = (*fleet_)[mi];
-    const bool doubt = m.service_cores > 0 && InDoubt(m);
+    const bool doubt = m.service_cores > 0 && IsInDoubt(m);
     if (doubt == doubtful_.contains(mi)) continue;
     if (doubt) {
       doubtful_.add(mi);
@@ -167,7 +169,7 @@
     settles_.erase(settles_.begin());
   }
   const Roaring changed = std::exchange(changed_, Roaring());
-  for (uint32_t number : changed) Look(number);
+  for (uint32_t number : changed) UpdateReplica(number);
   for (Account& account : accounts_) {
     while (!account.stops.empty() && now - account.stops.front() > policy_->times.window_s) {
       account.stops.pop_front();
@@ -176,19 +178,19 @@
 }
 
 DisruptionLedger::Replica DisruptionLedger::ReplicaOf(uint32_t number) const {
-  auto it = job_at_.upper_bound(number);
-  if (it == job_at_.begin()) return {};
+  auto it = job_by_first_replica_.upper_bound(number);
+  if (it == job_by_first_replica_.begin()) return {};
   --it;
-  const Known& known = jobs_.at(it->second);
-  if (number >= known.first + known.count) return {};
-  return {it->second, number - known.first};
+  const CountedJob& known = jobs_.at(it->second);
+  if (number >= known.first_replica + known.replica_count) return {};
+  return {it->second, number - known.first_replica};
 }
 
-void DisruptionLedger::Look(uint32_t number) {
-  ++steps_;
+void DisruptionLedger::UpdateReplica(uint32_t number) {
+  ++work_units_;
   const Replica replica = ReplicaOf(number);
   if (replica.job == kNoIndex) return;
-  const Known& known = jobs_.at(replica.job);
+  const CountedJob& known = jobs_.at(replica.job);
   const Task& task = (*job_store_)[replica.job].tasks[replica.task];
   const TaskAttempt* attempt = nullptr;
   if (task.phase == TaskPhase::kPlaced) {
@@ -216,33 +218,33 @@
   }
 }
 
-Wait DisruptionLedger::Within(const Known& job, uint64_t more) const {
+BlockedState DisruptionLedger::BudgetShortfall(const CountedJob& job, uint64_t more) const {
   for (size_t a : job.accounts) {
     const Account& account = accounts_[a];
     if (!account.down) continue;
     const uint64_t most = account.down->Of(account.expected.cardinality());
     const uint64_t down = account.unavailable.cardinality();
     if (down + more <= most) continue;
-    return {WaitReason::kBudget,
+    return {BlockedReason::kBudget,
             account.name + ", " + std::to_string(down) + " of at most " + std::to_string(most)};
   }
   return {};
 }
 
-Wait DisruptionLedger::AllowsReplica(JobIndex j) const {
+BlockedState DisruptionLedger::BlockedFromEvicting(JobIndex j) const {
   if (!active()) return {};
-  if (!confirmed_) return {WaitReason::kPolicyNotRead, ""};
+  if (!confirmed_) return {BlockedReason::kPolicyNotRead, ""};
   auto it = jobs_.find(j);
   if (it == jobs_.end()) return {};
-  return Within(it->second, 1);
+  return BudgetShortfall(it->second, 1);
 }
 
-Wait DisruptionLedger::WithinBudget(JobIndex j) const {
+BlockedState DisruptionLedger::BudgetViolation(JobIndex j) const {
   if (!active()) return {};
-  if (!confirmed_) return {WaitReason::kPolicyNotRead, ""};
+  if (!confirmed_) return {BlockedReason::kPolicyNotRead, ""};
   auto it = jobs_.find(j);
   if (it == jobs_.end()) return {};
-  return Within(it->second, 0);
+  return BudgetShortfall(it->second, 0);
 }
 
 size_t DisruptionLedger::StopsInWindow(const Account& account) const {
@@ -251,9 +253,9 @@
   return static_cast<size_t>(account.stops.end() - recent);
 }
 
-Wait DisruptionLedger::AllowsStops(const std::vector<JobIndex>& tasks) const {
+BlockedState DisruptionLedger::BlockedFromStopping(const std::vector<JobIndex>& tasks) const {
   if (!active()) return {};
-  if (!confirmed_) return {WaitReason::kPolicyNotRead, ""};
+  if (!confirmed_) return {BlockedReason::kPolicyNotRead, ""};
   std::map<size_t, size_t> more;
   for (JobIndex j : tasks) {
     auto it = jobs_.find(j);
@@ -263,44 +265,44 @@
   for (const auto& [a, count] : more) {
     const Account& account = accounts_[a];
     if (!account.stopped) continue;
-    if (clock_->Now() < stops_known_from_) return {WaitReason::kTakingOver, account.name};
+    if (clock_->Now() < stops_known_from_) return {BlockedReason::kTakingOver, account.name};
     const size_t stopped = StopsInWindow(account);
     if (stopped + count <= *account.stopped) continue;
-    return {WaitReason::kStopBudget, account.name + ", " + std::to_string(stopped) +
-                                         " of at most " + std::to_string(*account.stopped)};
+    return {BlockedReason::kStopBudget, account.name + ", " + std::to_string(stopped) +
+                                            " of at most " + std::to_string(*account.stopped)};
   }
   return {};
 }
 
-void DisruptionLedger::Hold(JobIndex j, uint32_t task) {
+void DisruptionLedger::ReserveDisruption(JobIndex j, uint32_t task) {
   auto it = jobs_.find(j);
-  if (it == jobs_.end() || task >= it->second.count) return;
-  held_.add(it->second.first + task);
-  Look(it->second.first + task);
+  if (it == jobs_.end() || task >= it->second.replica_count) return;
+  held_.add(it->second.first_replica + task);
+  UpdateReplica(it->second.first_replica + task);
 }
 
-void DisruptionLedger::Release(JobIndex j, uint32_t task) {
+void DisruptionLedger::ReleaseDisruption(JobIndex j, uint32_t task) {
   auto it = jobs_.find(j);
-  if (it == jobs_.end() || task >= it->second.count) return;
-  held_.remove(it->second.first + task);
-  Look(it->second.first + task);
+  if (it == jobs_.end() || task >= it->second.replica_count) return;
+  held_.remove(it->second.first_replica + task);
+  UpdateReplica(it->second.first_replica + task);
 }
 
-bool DisruptionLedger::Available(JobIndex j, uint32_t task) const {
+bool DisruptionLedger::IsAvailable(JobIndex j, uint32_t task) const {
   auto it = jobs_.find(j);
-  return it != jobs_.end() && task < it->second.count &&
-         available_.contains(it->second.first + task);
+  return it != jobs_.end() && task < it->second.replica_count &&
+         available_.contains(it->second.first_replica + task);
 }
 
-uint64_t DisruptionLedger::AvailableOf(JobIndex j) const {
+uint64_t DisruptionLedger::CountAvailable(JobIndex j) const {
   auto it = jobs_.find(j);
-  if (it == jobs_.end() || it->second.count == 0) return 0;
-  const uint32_t first = it->second.first;
+  if (it == jobs_.end() || it->second.replica_count == 0) return 0;
+  const uint32_t first = it->second.first_replica;
   const uint64_t before = first == 0 ? 0 : available_.rank(first - 1);
-  return available_.rank(first + it->second.count - 1) - before;
+  return available_.rank(first + it->second.replica_count - 1) - before;
 }
 
-uint64_t DisruptionLedger::DownOf(const std::string& team) const {
+uint64_t DisruptionLedger::CountUnavailable(const std::string& team) const {
   auto it = account_index_.find({team, ""});
   return it == account_index_.end() ? 0 : accounts_[it->second].unavailable.cardinality();
 }
--- a/src/drain/disruption_ledger.h
+++ b/src/drain/disruption_ledger.h
@@ -9,16 +9,16 @@
 #include <string>
 #include <vector>
 
+#include "drain/blocked_reason.h"
 #include "drain/policy.h"
-#include "drain/wait_reason.h"
 #include "fleet/fleet.h"
 #include "net/clock.h"
 
 namespace deckhall {
 
-// A replica is available once it has run for DrainTimes::settle_s on a machine about which there
-// is no doubt, and is to stay there. One that never ran in this term counts only if an earlier
-// leader accepted its job: then it may have run, and is taken as down until it is seen.
+// A replica is available once it has run for EvictionLimits::settle_s on a machine about which
+// there is no doubt, and is to stay there. One that never ran in this term counts only if an
+// earlier leader accepted its job: then it may have run, and is taken as down until it is seen.
 //
 // Changes are noted as they happen and looked at in Refresh(): the work for each does not depend
 // on the number of machines or jobs. Replicas have dense numbers, kept in compressed bitmaps.
@@ -29,33 +29,33 @@
 
   // The policy in force. `confirmed`: the state service said so in this term; until then
   // nothing voluntary is allowed. Null: nothing is counted, everything is allowed.
-  void Use(std::shared_ptr<const DisruptionPolicy> policy, bool confirmed);
+  void ApplyPolicy(std::shared_ptr<const DisruptionPolicy> policy, bool confirmed);
   bool active() const { return policy_ != nullptr; }
   // Takes in what changed since the last call.
   void Refresh();
 
   // Whether one more available replica of the job may go down now.
-  Wait AllowsReplica(JobIndex j) const;
+  BlockedState BlockedFromEvicting(JobIndex j) const;
   // Whether what is down, chosen replicas included, is within the budgets of the job.
-  Wait WithinBudget(JobIndex j) const;
+  BlockedState BudgetViolation(JobIndex j) const;
   // Whether these tasks of arrays, one entry each, may be stopped now.
-  Wait AllowsStops(const std::vector<JobIndex>& tasks) const;
+  BlockedState BlockedFromStopping(const std::vector<JobIndex>& tasks) const;
   // A replica was chosen to be stopped: it counts as down from now on. Released when it was
   // told to stop, or is not stopped after all.
-  void Hold(JobIndex j, uint32_t task);
-  void Release(JobIndex j, uint32_t task);
-  bool Available(JobIndex j, uint32_t task) const;
+  void ReserveDisruption(JobIndex j, uint32_t task);
+  void ReleaseDisruption(JobIndex j, uint32_t task);
+  bool IsAvailable(JobIndex j, uint32_t task) const;
   // Replicas of the job that are available.
-  uint64_t AvailableOf(JobIndex j) const;
+  uint64_t CountAvailable(JobIndex j) const;
   // Replicas of the team that are not available, as counted; for reports and tests.
-  uint64_t DownOf(const std::string& team) const;
+  uint64_t CountUnavailable(const std::string& team) const;
 
   void ReplicaChanged(JobIndex j, uint32_t task) override;
   void ArrayTaskStopped(JobIndex j) override;
   void JobChanged(JobIndex j) override;
 
   // Replicas and machines looked at so far, to bound the work as the fleet grows.
-  uint64_t steps() const { return steps_; }
+  uint64_t work_units() const { return work_units_; }
 
  private:
   // What one budget counts.
@@ -72,9 +72,9 @@
     uint32_t task = 0;
   };
   // The numbers of a job's replicas, and the accounts that it belongs to.
-  struct Known {
-    uint32_t first = 0;
-    uint32_t count = 0;
+  struct CountedJob {
+    uint32_t first_replica = 0;
+    uint32_t replica_count = 0;
     std::vector<size_t> accounts;
     bool may_have_run = false;
   };
@@ -86,10 +86,10 @@
   void AddJob(JobIndex j, bool may_have_run);
   void RemoveJob(JobIndex j);
   void RefreshDoubts();
-  bool InDoubt(const Machine& m) const;
+  bool IsInDoubt(const Machine& m) const;
   Replica ReplicaOf(uint32_t number) const;
-  void Look(uint32_t number);
-  Wait Within(const Known& job, uint64_t more) const;
+  void UpdateReplica(uint32_t number);
+  BlockedState BudgetShortfall(const CountedJob& job, uint64_t more) const;
   size_t StopsInWindow(const Account& account) const;
 
   JobStore* job_store_;
@@ -102,15 +102,15 @@
   double stops_known_from_ = -1;
   std::vector<Account> accounts_;
   std::map<std::pair<std::string, std::string>, size_t> account_index_;
-  std::map<JobIndex, Known> jobs_;
-  std::map<uint32_t, JobIndex> job_at_;  // by its first number
-  uint32_t next_number_ = 0;
+  std::map<JobIndex, CountedJob> jobs_;
+  std::map<uint32_t, JobIndex> job_by_first_replica_;  // by its first number
+  uint32_t next_replica_ = 0;
   Roaring changed_;                          // replicas to look at
   Roaring available_;                        // replicas
   Roaring held_;                             // replicas chosen to be stopped
   Roaring doubtful_;                         // machines
   std::multimap<double, uint32_t> settles_;  // when which replica has run for long enough
-  mutable uint64_t steps_ = 0;
+  mutable uint64_t work_units_ = 0;
 };
 
 }  // namespace deckhall
--- a/src/drain/drain_members.cc
+++ b/src/drain/drain_members.cc
@@ -4,18 +4,18 @@
 
 namespace deckhall {
 
-void DrainMembers::Use(std::shared_ptr<const DisruptionPolicy> policy,
-                       std::vector<double> since_wall) {
+void DrainMembers::ApplyPolicy(std::shared_ptr<const DisruptionPolicy> policy,
+                               std::vector<double> since_wall) {
   policy_ = std::move(policy);
   since_wall_ = std::move(since_wall);
   CountPools();
   members_.assign(policy_ == nullptr ? 0 : policy_->drains.size(), Roaring());
-  unknown_ = Roaring();
-  looked_at_ = 0;
-  by_network_ = policy_ != nullptr && std::any_of(policy_->drains.begin(), policy_->drains.end(),
-                                                  [](const DrainOrder& drain) {
-                                                    return drain.machines.network.has_value();
-                                                  });
+  unidentified_ = Roaring();
+  next_unexamined_ = 0;
+  selects_by_network_ =
+      policy_ != nullptr &&
+      std::any_of(policy_->drains.begin(), policy_->drains.end(),
+                  [](const DrainRequest& drain) { return drain.machines.network.has_value(); });
   for (MachineIndex mi : fleet_->active()) {
     Machine& m = (*fleet_)[mi];
     m.cordoned = m.scale_in_when_empty = false;
@@ -25,24 +25,26 @@
 }
 
 void DrainMembers::CountPools() {
-  pools_ = rentals_->pools().size();
-  all_closed_ =
-      policy_ != nullptr && pools_ > 0 &&
-      std::all_of(rentals_->pools().begin(), rentals_->pools().end(), [this](const Pool& pool) {
-        return std::any_of(policy_->drains.begin(), policy_->drains.end(),
-                           [this, &pool](const DrainOrder& drain) {
-                             return drain.machines.MayMatch(job_store_->types[pool.type],
-                                                            job_store_->zones[pool.zone]);
-                           });
-      });
+  pool_count_ = provisioner_->pools().size();
+  all_pools_closed_ =
+      policy_ != nullptr && pool_count_ > 0 &&
+      std::all_of(provisioner_->pools().begin(), provisioner_->pools().end(),
+                  [this](const MachinePool& pool) {
+                    return std::any_of(policy_->drains.begin(), policy_->drains.end(),
+                                       [this, &pool](const DrainRequest& drain) {
+                                         return drain.machines.MayMatch(
+                                             job_store_->types[pool.type],
+                                             job_store_->zones[pool.zone]);
+                                       });
+                  });
 }
 
-bool DrainMembers::ReplacesOnly(const DrainOrder& drain) const {
-  return drain.machines.everything || all_closed_;
+bool DrainMembers::ReplacesOnly(const DrainRequest& drain) const {
+  return drain.machines.everything || all_pools_closed_;
 }
 
-bool DrainMembers::Known(const Machine& m) const {
-  return m.type != kNoIndex && m.zone != kNoIndex && (!by_network_ || !m.endpoint.empty());
+bool DrainMembers::IsIdentified(const Machine& m) const {
+  return m.type != kNoIndex && m.zone != kNoIndex && (!selects_by_network_ || !m.endpoint.empty());
 }
 
 bool DrainMembers::Add(MachineIndex mi) {
@@ -50,7 +52,7 @@
   if (m.removed) return false;
   bool added = false;
   for (size_t d = 0; d < members_.size(); ++d) {
-    const DrainOrder& drain = policy_->drains[d];
+    const DrainRequest& drain = policy_->drains[d];
     if (!drain.machines.Matches(m.name, job_store_->types[m.type], job_store_->zones[m.zone],
                                 m.endpoint)) {
       continue;
@@ -69,26 +71,26 @@
 bool DrainMembers::Sync() {
   if (policy_ == nullptr || policy_->drains.empty()) return false;
   // The machine types became known: whether all pools are closed did too.
-  if (pools_ != rentals_->pools().size()) Use(policy_, since_wall_);
+  if (pool_count_ != provisioner_->pools().size()) ApplyPolicy(policy_, since_wall_);
   bool added = false;
-  const Roaring unknown = std::exchange(unknown_, Roaring());
+  const Roaring unknown = std::exchange(unidentified_, Roaring());
   auto look = [this, &added](MachineIndex mi) {
-    if (Known((*fleet_)[mi])) {
+    if (IsIdentified((*fleet_)[mi])) {
       added = Add(mi) || added;
     } else if (!(*fleet_)[mi].removed) {
-      unknown_.add(mi);
+      unidentified_.add(mi);
     }
   };
   for (MachineIndex mi : unknown) look(mi);
-  for (; looked_at_ < fleet_->size(); ++looked_at_) look(looked_at_);
+  for (; next_unexamined_ < fleet_->size(); ++next_unexamined_) look(next_unexamined_);
   return added;
 }
 
-bool DrainMembers::Closes(const std::string& type, const std::string& zone) const {
-  if (policy_ == nullptr || all_closed_) return false;
+bool DrainMembers::PreventsScaleOut(const std::string& type, const std::string& zone) const {
+  if (policy_ == nullptr || all_pools_closed_) return false;
   return std::any_of(
       policy_->drains.begin(), policy_->drains.end(),
-      [&type, &zone](const DrainOrder& drain) { return drain.machines.MayMatch(type, zone); });
+      [&type, &zone](const DrainRequest& drain) { return drain.machines.MayMatch(type, zone); });
 }
 
 }  // namespace deckhall
--- a/src/drain/drain_records.cc
+++ b/src/drain/drain_records.cc
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-const char* StateWord(DrainState state) {
+const char* DrainStateName(DrainState state) {
   switch (state) {
     case DrainState::kActive:
       return "active";
@@ -37,7 +37,7 @@
   w.SetMaxDecimalPlaces(2);
   w.StartObject();
   PutString(w, "drain", p.drain);
-  PutString(w, "state", StateWord(p.state));
+  PutString(w, "state", DrainStateName(p.state));
   PutNumber(w, "since", p.since_wall);
   PutCount(w, "machines_done", p.machines_done);
   PutCount(w, "machines_left", p.machines_left);
@@ -51,7 +51,7 @@
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-std::string EncodeStep(const StepRecord& s) {
+std::string EncodeEviction(const EvictionRecord& s) {
   rapidjson::StringBuffer buffer;
   JsonWriter w(buffer);
   w.SetMaxDecimalPlaces(2);
@@ -86,7 +86,7 @@
   return true;
 }
 
-bool DecodeStep(std::string_view text, StepRecord* out) {
+bool DecodeEviction(std::string_view text, EvictionRecord* out) {
   rapidjson::Document doc;
   if (!ParseJson(text, &doc) || !JsonString(doc, "drain_step", &out->drain)) return false;
   if (!JsonString(doc, "job", &out->job) || !JsonString(doc, "machine", &out->machine)) {
--- a/src/drain/drain_records.h
+++ b/src/drain/drain_records.h
@@ -28,7 +28,7 @@
 };
 
 // A replica that is being moved off a machine. Durable before the replica is told to stop.
-struct StepRecord {
+struct EvictionRecord {
   std::string drain;
   std::string job;
   uint64_t task = 0;
@@ -41,10 +41,10 @@
 constexpr size_t kProgressBytes = 640;
 
 std::string EncodeProgress(const DrainProgress& progress);
-std::string EncodeStep(const StepRecord& step);
+std::string EncodeEviction(const EvictionRecord& step);
 // False when the text is no such row.
 bool DecodeProgress(std::string_view text, DrainProgress* out);
-bool DecodeStep(std::string_view text, StepRecord* out);
-const char* StateWord(DrainState state);
+bool DecodeEviction(std::string_view text, EvictionRecord* out);
+const char* DrainStateName(DrainState state);
 
 }  // namespace deckhall
--- a/src/drain/drainer.cc
+++ b/src/drain/eviction_controller.cc
@@ -1,4 +1,4 @@
-#include "drain/drainer.h"
+#include "drain/eviction_controller.h"
 
 #include <spdlog/spdlog.h>
 
@@ -17,20 +17,20 @@
 
 }  // namespace
 
-Drainer::Drainer(const DrainerPorts& ports)
+EvictionController::EvictionController(const EvictionDependencies& ports)
     : job_store_(ports.job_store),
       fleet_(ports.fleet),
       free_capacity_(ports.free_capacity),
-      rentals_(ports.rentals),
-      gangs_(ports.gangs),
+      provisioner_(ports.provisioner),
+      gangs_(ports.gang_supervisor),
       record_store_(ports.record_store),
       ledger_(ports.ledger),
       clock_(ports.clock),
-      members_(ports.job_store, ports.fleet, ports.rentals),
-      step_book_(ports.job_store, ports.fleet, ports.record_store, ports.clock),
+      members_(ports.job_store, ports.fleet, ports.provisioner),
+      eviction_tracker_(ports.job_store, ports.fleet, ports.record_store, ports.clock),
       places_(ports.job_store, ports.free_capacity, ports.clock) {}
 
-bool Drainer::LoadRow(RecordId row, const std::string& text) {
+bool EvictionController::LoadRecord(RecordId row, const std::string& text) {
   DrainProgress progress;
   if (DecodeProgress(text, &progress)) {
     record_store_->Reserve(row, kProgressBytes);
@@ -38,28 +38,29 @@
     loaded_[name] = {row, std::move(progress)};
     return true;
   }
-  return step_book_.LoadRow(row, text);
+  return eviction_tracker_.LoadRecord(row, text);
 }
 
-void Drainer::FinishLoad() { step_book_.FinishLoad(); }
+void EvictionController::FinishLoad() { eviction_tracker_.FinishLoad(); }
 
-void Drainer::Use(std::shared_ptr<const DisruptionPolicy> policy, bool confirmed) {
+void EvictionController::ApplyPolicy(std::shared_ptr<const DisruptionPolicy> policy,
+                                     bool confirmed) {
   confirmed_ = confirmed;
   if (policy == policy_) return;
   policy_ = std::move(policy);
   for (Drain& drain : drains_) {
-    loaded_[drain.progress.drain] = {drain.row, drain.progress};
+    loaded_[drain.progress.drain] = {drain.record_id, drain.progress};
   }
   drains_.clear();
   std::vector<double> since;
   if (policy_ != nullptr) {
-    for (const DrainOrder& order : policy_->drains) {
+    for (const DrainRequest& order : policy_->drains) {
       Drain& drain = drains_.emplace_back();
       drain.order = &order;
-      drain.moved_at = clock_->Now();
+      drain.last_progress_at = clock_->Now();
       auto before = loaded_.find(order.name);
       if (before != loaded_.end()) {
-        drain.row = before->second.first;
+        drain.record_id = before->second.first;
         drain.progress = before->second.second;
         loaded_.erase(before);
       } else {
@@ -70,42 +71,42 @@
       since.push_back(drain.progress.since_wall);
     }
   }
-  members_.Use(policy_, std::move(since));
+  members_.ApplyPolicy(policy_, std::move(since));
   image_wait_since_.clear();
   next_write_ = 0;
 }
 
-Drainer::Drain* Drainer::Find(const std::string& name) {
+EvictionController::Drain* EvictionController::Find(const std::string& name) {
   auto it = std::find_if(drains_.begin(), drains_.end(),
                          [&name](const Drain& drain) { return drain.order->name == name; });
   return it == drains_.end() ? nullptr : &*it;
 }
 
-bool Drainer::InForce(const std::string& name) const {
+bool EvictionController::InForce(const std::string& name) const {
   return policy_ != nullptr && policy_->Find(name) != nullptr && !policy_->Find(name)->paused;
 }
 
-void Drainer::Progressed(const std::string& name) {
-  if (Drain* drain = Find(name)) drain->moved_at = clock_->Now();
+void EvictionController::RecordProgress(const std::string& name) {
+  if (Drain* drain = Find(name)) drain->last_progress_at = clock_->Now();
 }
 
-void Drainer::Tick() {
+void EvictionController::Tick() {
   ledger_->Refresh();
   // Without a policy the steps of an earlier one are still followed to their end.
-  AdvanceSteps();
-  room_wanted_.clear();
+  AdvanceEvictions();
+  jobs_needing_room_.clear();
   if (policy_ == nullptr) return;
   if (members_.Sync()) {
     for (Drain& drain : drains_) drain.sorted_at = -1;
   }
-  StartSteps();
+  StartEvictions();
   double ahead = 0;
-  for (JobIndex j : room_wanted_) ahead += (*job_store_)[j].spec.cores;
-  free_capacity_->SetRoomAhead(ahead);
+  for (JobIndex j : jobs_needing_room_) ahead += (*job_store_)[j].spec.cores;
+  free_capacity_->SetPlannedCores(ahead);
   for (Drain& drain : drains_) RefreshDrain(&drain);
   if (clock_->Now() < next_write_) return;
   next_write_ = clock_->Now() + kWriteEvery;
-  for (Drain& drain : drains_) Write(&drain);
+  for (Drain& drain : drains_) SaveProgress(&drain);
   if (!confirmed_) return;
   // What is left of drains that were withdrawn.
   for (const auto& [name, before] : std::exchange(loaded_, {})) {
@@ -114,18 +115,19 @@
   }
 }
 
-bool Drainer::TypeUnknown(const Drain& drain) const {
+bool EvictionController::HasUnknownType(const Drain& drain) const {
   const std::string& type = drain.order->machines.type;
-  if (type.empty() || !rentals_->types_known() || drain.progress.machines_done > 0) return false;
-  return rentals_->TypeOf(job_store_->types.Find(type)) == nullptr;
+  if (type.empty() || !provisioner_->types_known() || drain.progress.machines_done > 0)
+    return false;
+  return provisioner_->TypeOf(job_store_->types.Find(type)) == nullptr;
 }
 
-bool Drainer::PastDeadline(const Drain& drain) const {
+bool EvictionController::IsPastDeadline(const Drain& drain) const {
   return drain.order->deadline_s &&
          clock_->Wall() >= drain.progress.since_wall + *drain.order->deadline_s;
 }
 
-void Drainer::SortMachines(Drain* drain) {
+void EvictionController::SortMachines(Drain* drain) {
   const auto index =
       static_cast<size_t>(std::find_if(drains_.begin(), drains_.end(),
                                        [drain](const Drain& other) { return &other == drain; }) -
@@ -133,8 +135,8 @@
   drain->sorted_at = clock_->Now();
   drain->queue.clear();
   std::vector<MachineIndex> gone;
-  for (uint32_t mi : members_.Of(index)) {
-    ++looked_at_;
+  for (uint32_t mi : members_.MachinesOf(index)) {
+    ++examined_;
     if ((*fleet_)[mi].removed) {
       gone.push_back(mi);
     } else {
@@ -144,7 +146,7 @@
   for (MachineIndex mi : gone) {
     members_.Remove(index, mi);
     ++drain->progress.machines_done;
-    drain->moved_at = clock_->Now();
+    drain->last_progress_at = clock_->Now();
   }
   std::stable_sort(drain->queue.begin(), drain->queue.end(),
                    [this](MachineIndex a, MachineIndex b) {
@@ -153,7 +155,7 @@
   drain->cursor = 0;
 }
 
-void Drainer::StartSteps() {
+void EvictionController::StartEvictions() {
   std::vector<Drain*> turn;
   for (Drain& drain : drains_) {
     const bool due = drain.sorted_at < 0 || clock_->Now() - drain.sorted_at > kSortEvery;
@@ -163,19 +165,20 @@
   }
   // The one that had its last step longest ago goes first, so that none of those that want the
   // same budget gets all of it.
-  std::stable_sort(turn.begin(), turn.end(),
-                   [](const Drain* a, const Drain* b) { return a->stepped_at < b->stepped_at; });
+  std::stable_sort(turn.begin(), turn.end(), [](const Drain* a, const Drain* b) {
+    return a->last_eviction_at < b->last_eviction_at;
+  });
   const size_t share = turn.empty() ? 0 : std::max<size_t>(1, kMostLooks / turn.size());
   std::map<Drain*, size_t> looks;
   for (Drain* drain : turn) looks[drain] = std::min(share, drain->queue.size());
   bool any = true;
   while (any) {
     any = false;
-    for (Drain* drain : turn) any = StartOne(drain, &looks[drain]) || any;
+    for (Drain* drain : turn) any = StartEvictionOf(drain, &looks[drain]) || any;
   }
 }
 
-bool Drainer::StartOne(Drain* drain, size_t* looks) {
+bool EvictionController::StartEvictionOf(Drain* drain, size_t* looks) {
   while (*looks > 0) {
     if (drain->cursor >= drain->queue.size()) {
       // Once round; the rest of the looks would see the same again.
@@ -183,38 +186,38 @@
       return false;
     }
     const MachineIndex mi = drain->queue[drain->cursor];
-    ++looked_at_;
+    ++examined_;
     --*looks;
     if (!Examine(drain, mi)) {
       ++drain->cursor;
       continue;
     }
     // Others go first; the same machine is looked at again in the next round.
-    drain->stepped_at = drain->moved_at = clock_->Now();
+    drain->last_eviction_at = drain->last_progress_at = clock_->Now();
     return true;
   }
   return false;
 }
 
-bool Drainer::Examine(Drain* drain, MachineIndex mi) {
+bool EvictionController::Examine(Drain* drain, MachineIndex mi) {
   const Machine& m = (*fleet_)[mi];
   if (m.removed) return false;
   if (drain->order->paused) {
-    drain->wait = {WaitReason::kPaused, ""};
+    drain->blocked = {BlockedReason::kPaused, ""};
     return false;
   }
   if (!confirmed_) {
-    drain->wait = {WaitReason::kPolicyNotRead, ""};
+    drain->blocked = {BlockedReason::kPolicyNotRead, ""};
     return false;
   }
   if (m.attempts.empty()) {
-    drain->wait = {WaitReason::kReturning, ""};
+    drain->blocked = {BlockedReason::kReturning, ""};
     return false;
   }
-  drain->wait = {WaitReason::kStopping, m.name};
+  drain->blocked = {BlockedReason::kStopping, m.name};
   // The books of the machine may grow while it is looked at, but nothing is taken out.
   for (size_t i = 0; i < (*fleet_)[mi].attempts.size(); ++i) {
-    ++looked_at_;
+    ++examined_;
     TaskAttempt& slot = (*fleet_)[mi].attempts[i];
     if (slot.released || !slot.wanted || slot.job == kNoIndex) continue;
     const bool begun =
@@ -224,129 +227,132 @@
   return false;
 }
 
-Wait Drainer::MayMove(MachineIndex mi, const TaskAttempt& slot) const {
+BlockedState EvictionController::BlockedFromMoving(MachineIndex mi, const TaskAttempt& slot) const {
   const Job& job = (*job_store_)[slot.job];
-  if (step_book_.steps().size() >= policy_->times.steps_at_once) {
-    return {WaitReason::kStepsAtOnce, ""};
+  if (eviction_tracker_.evictions().size() >= policy_->times.max_evictions) {
+    return {BlockedReason::kStepsAtOnce, ""};
   }
-  if (job.tasks_unreconciled > 0) return {WaitReason::kTakingOver, job.id};
-  if (slot.state != TaskState::kRunning) return {WaitReason::kReplicaStarting, slot.task_name};
+  if (job.tasks_unreconciled > 0) return {BlockedReason::kTakingOver, job.id};
+  if (slot.state != TaskState::kRunning) return {BlockedReason::kReplicaStarting, slot.task_name};
   if ((*fleet_)[mi].unreachable_count > 0 || (*fleet_)[mi].probe_failures > 0) {
-    return {WaitReason::kMachineSilent, (*fleet_)[mi].name};
+    return {BlockedReason::kMachineSilent, (*fleet_)[mi].name};
   }
-  if (!ledger_->Available(slot.job, slot.task_index))
-    return {WaitReason::kReplicaStarting, slot.task_name};
-  const uint64_t up = ledger_->AvailableOf(slot.job);
-  auto pause = pauses_.find(slot.job);
-  if (pause != pauses_.end() && (up < job.tasks.size() || clock_->Now() < pause->second.until)) {
-    return {WaitReason::kReplacementLate, job.id};
+  if (!ledger_->IsAvailable(slot.job, slot.task_index))
+    return {BlockedReason::kReplicaStarting, slot.task_name};
+  const uint64_t up = ledger_->CountAvailable(slot.job);
+  auto pause = backoffs_.find(slot.job);
+  if (pause != backoffs_.end() && (up < job.tasks.size() || clock_->Now() < pause->second.until)) {
+    return {BlockedReason::kReplacementLate, job.id};
   }
-  if (job.tasks.size() > 1 && up < 2) return {WaitReason::kLastReplica, job.id};
-  return ledger_->AllowsReplica(slot.job);
+  if (job.tasks.size() > 1 && up < 2) return {BlockedReason::kLastReplica, job.id};
+  return ledger_->BlockedFromEvicting(slot.job);
 }
 
-bool Drainer::ExamineReplica(Drain* drain, MachineIndex mi, const TaskAttempt& slot) {
+bool EvictionController::ExamineReplica(Drain* drain, MachineIndex mi, const TaskAttempt& slot) {
   if (slot.state != TaskState::kRunning) MoveStuckReplica(mi, slot);
-  if (step_book_.Moving(slot.job, slot.task_index)) return false;
-  Wait wait = MayMove(mi, slot);
-  PlaceFinder::Result place;
+  if (eviction_tracker_.IsEvicting(slot.job, slot.task_index)) return false;
+  BlockedState wait = BlockedFromMoving(mi, slot);
+  ReplacementFinder::Result place;
   if (!wait) {
     auto since = image_wait_since_.try_emplace(slot.job, clock_->Now()).first;
     const bool fetch = clock_->Now() - since->second >= policy_->times.image_wait_s;
     place = places_.Find(slot.job, mi, fetch);
-    wait = place.wait;
+    wait = place.blocked;
   }
   if (wait) {
-    drain->wait = wait;
-    if (room_wanted_.size() < kRoomAhead) room_wanted_.push_back(slot.job);
+    drain->blocked = wait;
+    if (jobs_needing_room_.size() < kRoomAhead) jobs_needing_room_.push_back(slot.job);
     return false;
   }
   if (place.has_image) image_wait_since_.erase(slot.job);
-  ledger_->Hold(slot.job, slot.task_index);
-  HoldPlace(&step_book_.Begin(drain->order->name, slot.job, slot.task_index, mi, slot.number),
-            place.machine);
-  drain->wait = {WaitReason::kReplacing, (*job_store_)[slot.job].id};
+  ledger_->ReserveDisruption(slot.job, slot.task_index);
+  ReservePlace(
+      &eviction_tracker_.Begin(drain->order->name, slot.job, slot.task_index, mi, slot.number),
+      place.machine);
+  drain->blocked = {BlockedReason::kReplacing, (*job_store_)[slot.job].id};
   return true;
 }
 
 // A replica that does not come up on a drained machine is down already: it is tried elsewhere.
-void Drainer::MoveStuckReplica(MachineIndex mi, const TaskAttempt& slot) {
+void EvictionController::MoveStuckReplica(MachineIndex mi, const TaskAttempt& slot) {
   if (slot.running_since >= 0 || !slot.wanted) return;
   if (clock_->Now() - slot.launched_at < policy_->times.replace_within_s) return;
   fleet_->RequestStop(mi, fleet_->FindAttempt(mi, slot.job, slot.task_index, slot.number), 0);
   fleet_->placement_needed = true;
 }
 
-bool Drainer::ExamineArrayTask(Drain* drain, MachineIndex mi, TaskAttempt* slot) {
+bool EvictionController::ExamineArrayTask(Drain* drain, MachineIndex mi, TaskAttempt* slot) {
   const Job& job = (*job_store_)[slot->job];
-  if (!PastDeadline(*drain)) {
-    drain->wait = {WaitReason::kArraysRunning, job.id};
+  if (!IsPastDeadline(*drain)) {
+    drain->blocked = {BlockedReason::kArraysRunning, job.id};
     return false;
   }
   // A gang is stopped whole or not at all.
   const size_t count = job.spec.gang ? job.machines.size() : 1;
-  const Wait wait = ledger_->AllowsStops(std::vector<JobIndex>(count, slot->job));
+  const BlockedState wait = ledger_->BlockedFromStopping(std::vector<JobIndex>(count, slot->job));
   if (wait) {
-    drain->wait = wait;
+    drain->blocked = wait;
     return false;
   }
   spdlog::info("drain {}: past its deadline, stopping {} on {}", drain->order->name,
                slot->task_name, (*fleet_)[mi].name);
   drain->progress.tasks_stopped += count;
   if (job.spec.gang) {
-    gangs_->StopWhole(slot->job, "a drain is past its deadline");
+    gangs_->StopGang(slot->job, "a drain is past its deadline");
   } else {
-    fleet_->RequestStop(mi, slot, GraceOf(job));
+    fleet_->RequestStop(mi, slot, GracePeriodOf(job));
   }
   fleet_->placement_needed = true;
   return true;
 }
 
-void Drainer::RefreshDrain(Drain* drain) {
+void EvictionController::RefreshDrain(Drain* drain) {
   DrainProgress& p = drain->progress;
-  p.replicas_moving = step_book_.CountOf(p.drain);
+  p.replicas_moving = eviction_tracker_.CountEvictions(p.drain);
   const bool was_done = p.state == DrainState::kDone;
   p.machines_left = drain->queue.size();
   const bool empty = drain->sorted_at >= 0 && confirmed_ && drain->queue.empty();
-  const bool unknown = drain->queue.empty() && TypeUnknown(*drain);
+  const bool unknown = drain->queue.empty() && HasUnknownType(*drain);
   p.state = DrainState::kActive;
   if (empty && p.replicas_moving == 0 && !unknown) p.state = DrainState::kDone;
   if (drain->order->paused) p.state = DrainState::kPaused;
   if (p.state == DrainState::kPaused) {
-    drain->wait = {WaitReason::kPaused, ""};
+    drain->blocked = {BlockedReason::kPaused, ""};
   } else if (p.state == DrainState::kDone) {
-    drain->wait = {};
+    drain->blocked = {};
   } else if (!confirmed_) {
-    drain->wait = {WaitReason::kPolicyNotRead, ""};
+    drain->blocked = {BlockedReason::kPolicyNotRead, ""};
   } else if (unknown) {
-    drain->wait = {WaitReason::kUnknownType, drain->order->machines.type};
+    drain->blocked = {BlockedReason::kUnknownType, drain->order->machines.type};
   } else if (drain->queue.empty()) {
-    drain->wait = {WaitReason::kReplacing, std::to_string(p.replicas_moving)};
+    drain->blocked = {BlockedReason::kReplacing, std::to_string(p.replicas_moving)};
   }
   if (p.state == DrainState::kDone && !was_done) {
     spdlog::info("drain {} is done: {} machines, {} replicas moved", p.drain, p.machines_done,
                  p.replicas_moved);
     next_write_ = 0;
   }
-  p.why = Words(drain->wait);
-  p.waiting_since_wall = clock_->Wall() - (clock_->Now() - drain->moved_at);
+  p.why = Describe(drain->blocked);
+  p.waiting_since_wall = clock_->Wall() - (clock_->Now() - drain->last_progress_at);
 }
 
-void Drainer::Write(Drain* drain) {
+void EvictionController::SaveProgress(Drain* drain) {
   // The time since which it waits alone is no reason to write.
   DrainProgress shown = drain->progress;
   if (shown.why.empty()) shown.waiting_since_wall = 0;
   std::string text = EncodeProgress(shown);
-  if (text == drain->written) return;
-  drain->written = text;
-  if (drain->row == kNoRecord) {
-    drain->row = record_store_->Add(std::move(text), kProgressBytes, WritePriority::kDeferred);
+  if (text == drain->stored_text) return;
+  drain->stored_text = text;
+  if (drain->record_id == kNoRecord) {
+    drain->record_id =
+        record_store_->Add(std::move(text), kProgressBytes, WritePriority::kDeferred);
   } else {
-    record_store_->Update(drain->row, std::move(text), kProgressBytes, WritePriority::kBackground);
+    record_store_->Update(drain->record_id, std::move(text), kProgressBytes,
+                          WritePriority::kBackground);
   }
 }
 
-std::vector<DrainProgress> Drainer::Progress() const {
+std::vector<DrainProgress> EvictionController::Progress() const {
   std::vector<DrainProgress> out;
   for (const Drain& drain : drains_) out.push_back(drain.progress);
   return out;
--- a/src/drain/drainer.h
+++ b/src/drain/eviction_controller.h
@@ -12,32 +12,32 @@
 #include "drain/disruption_ledger.h"
 #include "drain/drain_members.h"
 #include "drain/drain_records.h"
-#include "drain/place_finder.h"
-#include "drain/step_book.h"
-#include "leader/gang_keeper.h"
+#include "drain/eviction_tracker.h"
+#include "drain/replacement_finder.h"
+#include "leader/gang_supervisor.h"
 
 namespace deckhall {
 
-struct DrainerPorts {
+struct EvictionDependencies {
   JobStore* job_store = nullptr;
   Fleet* fleet = nullptr;
   FreeCapacity* free_capacity = nullptr;
-  Rentals* rentals = nullptr;
-  GangKeeper* gangs = nullptr;
+  Provisioner* provisioner = nullptr;
+  GangSupervisor* gang_supervisor = nullptr;
   RecordStore* record_store = nullptr;
   DisruptionLedger* ledger = nullptr;
   const Clock* clock = nullptr;
 };
 
-class Drainer {
+class EvictionController {
  public:
-  explicit Drainer(const DrainerPorts& ports);
+  explicit EvictionController(const EvictionDependencies& ports);
 
   // Reads one row if it is one of ours; FinishLoad() after all rows, Use() only after that.
-  bool LoadRow(RecordId row, const std::string& text);
+  bool LoadRecord(RecordId row, const std::string& text);
   void FinishLoad();
-  // The policy in force, null without one; `confirmed` as for DisruptionLedger::Use.
-  void Use(std::shared_ptr<const DisruptionPolicy> policy, bool confirmed);
+  // The policy in force, null without one; `confirmed` as for DisruptionLedger::ApplyPolicy.
+  void ApplyPolicy(std::shared_ptr<const DisruptionPolicy> policy, bool confirmed);
   // Called a few times a second.
   void Tick();
   // Puts replacements where room was held for them. Called with a fresh picture of free room,
@@ -45,93 +45,93 @@
   void PlaceReplacements();
 
   // A drain wants no such machines: none is rented.
-  bool Closes(const std::string& type, const std::string& zone) const {
-    return members_.Closes(type, zone);
+  bool PreventsScaleOut(const std::string& type, const std::string& zone) const {
+    return members_.PreventsScaleOut(type, zone);
   }
   // Jobs whose replicas will need room elsewhere next, one entry each.
-  const std::vector<JobIndex>& room_wanted() const { return room_wanted_; }
+  const std::vector<JobIndex>& jobs_needing_room() const { return jobs_needing_room_; }
   // Progress of the drains in force, in the order of the policy.
   std::vector<DrainProgress> Progress() const;
-  const StepBook& step_book() const { return step_book_; }
+  const EvictionTracker& eviction_tracker() const { return eviction_tracker_; }
   // Machines, replicas and places looked at so far, to bound the work as the fleet grows.
-  uint64_t steps() const { return looked_at_ + places_.looked_at(); }
+  uint64_t work_units() const { return examined_ + places_.examined(); }
 
  private:
   // One drain of the policy in force.
   struct Drain {
-    const DrainOrder* order = nullptr;
+    const DrainRequest* order = nullptr;
     DrainProgress progress;
-    RecordId row = kNoRecord;
-    std::string written;  // of its row
+    RecordId record_id = kNoRecord;
+    std::string stored_text;  // of its row
     std::vector<MachineIndex>
         queue;  // its machines, those that are emptied with least effort first
     size_t cursor = 0;
     double sorted_at = -1;
-    double stepped_at = -1;  // it last began a step: others go first
-    double moved_at = 0;     // something last went on
-    Wait wait;               // as last found
+    double last_eviction_at = -1;  // it last began a step: others go first
+    double last_progress_at = 0;   // something last went on
+    BlockedState blocked;          // as last found
   };
   // A job whose replacement did not become healthy.
-  struct Pause {
+  struct Backoff {
     double until = 0;
     double seconds = 0;
   };
 
   bool InForce(const std::string& drain) const;
   Drain* Find(const std::string& drain);
-  void AdvanceSteps();
+  void AdvanceEvictions();
   // False: the step is over.
-  bool Advance(DrainStep* step);
-  bool AdvanceAdopted(DrainStep* step);
-  bool AdvanceRecording(DrainStep* step);
-  bool AdvanceReplacing(DrainStep* step);
+  bool Advance(Eviction* step);
+  bool AdvanceAdopted(Eviction* step);
+  bool AdvanceRecording(Eviction* step);
+  bool AdvanceReplacing(Eviction* step);
   // Tells the replica of a durable step to stop. False: it no longer may.
-  bool StopReplica(DrainStep* step);
+  bool StopReplica(Eviction* step);
   // The replacement is late: another machine is tried. False: the step is given up.
-  bool TryElsewhere(DrainStep* step);
-  void HoldPlace(DrainStep* step, MachineIndex place);
-  void ReleasePlace(DrainStep* step);
-  double BoundOf(const DrainStep& step) const;
+  bool TryElsewhere(Eviction* step);
+  void ReservePlace(Eviction* step, MachineIndex place);
+  void ReleasePlace(Eviction* step);
+  double ReplacementTimeout(const Eviction& step) const;
 
-  void StartSteps();
+  void StartEvictions();
   // Looks at the drain's next machines; true when a step was begun.
-  bool StartOne(Drain* drain, size_t* looks);
+  bool StartEvictionOf(Drain* drain, size_t* looks);
   // True when something was begun there.
   bool Examine(Drain* drain, MachineIndex m);
   bool ExamineReplica(Drain* drain, MachineIndex m, const TaskAttempt& slot);
   bool ExamineArrayTask(Drain* drain, MachineIndex m, TaskAttempt* slot);
-  Wait MayMove(MachineIndex m, const TaskAttempt& slot) const;
+  BlockedState BlockedFromMoving(MachineIndex m, const TaskAttempt& slot) const;
   void MoveStuckReplica(MachineIndex m, const TaskAttempt& slot);
   void SortMachines(Drain* drain);
   // Its type is not on offer, nor on any machine.
-  bool TypeUnknown(const Drain& drain) const;
-  bool PastDeadline(const Drain& drain) const;
+  bool HasUnknownType(const Drain& drain) const;
+  bool IsPastDeadline(const Drain& drain) const;
   void RefreshDrain(Drain* drain);
-  void Write(Drain* drain);
-  void Progressed(const std::string& drain);
-  TaskAttempt* SlotOf(const DrainStep& step);
-  static double GraceOf(const Job& job);
+  void SaveProgress(Drain* drain);
+  void RecordProgress(const std::string& drain);
+  TaskAttempt* FindEvictedAttempt(const Eviction& step);
+  static double GracePeriodOf(const Job& job);
 
   JobStore* job_store_;
   Fleet* fleet_;
   FreeCapacity* free_capacity_;
-  Rentals* rentals_;
-  GangKeeper* gangs_;
+  Provisioner* provisioner_;
+  GangSupervisor* gangs_;
   RecordStore* record_store_;
   DisruptionLedger* ledger_;
   const Clock* clock_;
   DrainMembers members_;
-  StepBook step_book_;
-  PlaceFinder places_;
+  EvictionTracker eviction_tracker_;
+  ReplacementFinder places_;
   std::shared_ptr<const DisruptionPolicy> policy_;
   bool confirmed_ = false;
   std::deque<Drain> drains_;
   std::map<std::string, std::pair<RecordId, DrainProgress>> loaded_;  // not in the policy so far
-  std::map<JobIndex, Pause> pauses_;
+  std::map<JobIndex, Backoff> backoffs_;
   std::map<JobIndex, double> image_wait_since_;
-  std::vector<JobIndex> room_wanted_;
+  std::vector<JobIndex> jobs_needing_room_;
   double next_write_ = 0;
-  uint64_t looked_at_ = 0;
+  uint64_t examined_ = 0;
 };
 
 }  // namespace deckhall
--- a/src/drain/drainer_steps.cc
+++ b/src/drain/eviction_steps.cc
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "drain/drainer.h"
+#include "drain/eviction_controller.h"
 
 namespace deckhall {
 namespace {
@@ -17,129 +17,129 @@
 
 }  // namespace
 
-double Drainer::GraceOf(const Job& job) {
+double EvictionController::GracePeriodOf(const Job& job) {
   return job.spec.checkpoint_interval_s > 0 ? job.spec.checkpoint_grace_s + kSaveMargin : 0;
 }
 
-TaskAttempt* Drainer::SlotOf(const DrainStep& step) {
+TaskAttempt* EvictionController::FindEvictedAttempt(const Eviction& step) {
   if (step.from == kNoIndex) return nullptr;
-  return fleet_->FindAttempt(step.from, step.job, step.task, step.attempt);
+  return fleet_->FindAttempt(step.from, step.job, step.task_index, step.attempt_number);
 }
 
-void Drainer::HoldPlace(DrainStep* step, MachineIndex place) {
-  step->place = place;
-  free_capacity_->HoldRoom(place, (*job_store_)[step->job]);
+void EvictionController::ReservePlace(Eviction* step, MachineIndex place) {
+  step->replacement_machine = place;
+  free_capacity_->ReserveRoom(place, (*job_store_)[step->job]);
 }
 
-void Drainer::ReleasePlace(DrainStep* step) {
-  if (step->place == kNoIndex) return;
-  free_capacity_->ReleaseRoom(step->place, (*job_store_)[step->job]);
-  step->place = kNoIndex;
+void EvictionController::ReleasePlace(Eviction* step) {
+  if (step->replacement_machine == kNoIndex) return;
+  free_capacity_->ReleaseRoom(step->replacement_machine, (*job_store_)[step->job]);
+  step->replacement_machine = kNoIndex;
   fleet_->placement_needed = true;
 }
 
-void Drainer::AdvanceSteps() {
-  step_book_.RemoveIf([this](DrainStep* step) {
+void EvictionController::AdvanceEvictions() {
+  eviction_tracker_.RemoveIf([this](Eviction* step) {
     if (Advance(step)) return false;
-    ledger_->Release(step->job, step->task);
+    ledger_->ReleaseDisruption(step->job, step->task_index);
     ReleasePlace(step);
     return true;
   });
 }
 
-bool Drainer::Advance(DrainStep* step) {
-  ++looked_at_;
+bool EvictionController::Advance(Eviction* step) {
+  ++examined_;
   if ((*job_store_)[step->job].lifecycle != JobLifecycle::kActive) return false;
   switch (step->phase) {
-    case StepPhase::kAdopted:
+    case EvictionPhase::kAdopted:
       return AdvanceAdopted(step);
-    case StepPhase::kRecording:
+    case EvictionPhase::kRecording:
       return AdvanceRecording(step);
-    case StepPhase::kStopping: {
-      const TaskAttempt* slot = SlotOf(*step);
+    case EvictionPhase::kStopping: {
+      const TaskAttempt* slot = FindEvictedAttempt(*step);
       if (slot != nullptr && !slot->released) return true;
-      step_book_.SetPhase(step, StepPhase::kReplacing);
+      eviction_tracker_.SetPhase(step, EvictionPhase::kReplacing);
       fleet_->placement_needed = true;
       return true;
     }
-    case StepPhase::kReplacing:
+    case EvictionPhase::kReplacing:
       return AdvanceReplacing(step);
   }
   return false;
 }
 
-bool Drainer::AdvanceAdopted(DrainStep* step) {
-  const Task& task = (*job_store_)[step->job].tasks[step->task];
+bool EvictionController::AdvanceAdopted(Eviction* step) {
+  const Task& task = (*job_store_)[step->job].tasks[step->task_index];
   if (task.phase == TaskPhase::kUnreconciled) return true;
-  const TaskAttempt* slot = SlotOf(*step);
+  const TaskAttempt* slot = FindEvictedAttempt(*step);
   if (slot != nullptr && !slot->released && slot->wanted) {
     // The stop never came, nor can it any more: the machine has shown this term's token.
     spdlog::info("{} still runs on {}: the step of the leader before was not carried out",
                  slot->task_name, (*fleet_)[step->from].name);
     return false;
   }
-  step_book_.SetPhase(step, StepPhase::kReplacing);
+  eviction_tracker_.SetPhase(step, EvictionPhase::kReplacing);
   return true;
 }
 
-bool Drainer::AdvanceRecording(DrainStep* step) {
-  const TaskAttempt* slot = SlotOf(*step);
+bool EvictionController::AdvanceRecording(Eviction* step) {
+  const TaskAttempt* slot = FindEvictedAttempt(*step);
   // It ended by itself, or was stopped for another reason.
   if (slot == nullptr || slot->released || !slot->wanted) return false;
-  if (!step_book_.Durable(*step)) return clock_->Now() - step->phase_since < kRecordWithin;
+  if (!eviction_tracker_.Durable(*step)) return clock_->Now() - step->phase_since < kRecordWithin;
   return StopReplica(step);
 }
 
-bool Drainer::StopReplica(DrainStep* step) {
-  TaskAttempt* slot = SlotOf(*step);
+bool EvictionController::StopReplica(Eviction* step) {
+  TaskAttempt* slot = FindEvictedAttempt(*step);
   const Job& job = (*job_store_)[step->job];
   // Since the choice machines may have been lost, the budget lowered, or the place taken.
-  if (!InForce(step->drain) || ledger_->WithinBudget(step->job)) return false;
-  if (!free_capacity_->Current(step->place).usable) return false;
+  if (!InForce(step->drain) || ledger_->BudgetViolation(step->job)) return false;
+  if (!free_capacity_->Current(step->replacement_machine).usable) return false;
   spdlog::info("drain {}: moving {} off {}, to {}", step->drain, slot->task_name,
-               (*fleet_)[step->from].name, (*fleet_)[step->place].name);
-  fleet_->RequestStop(step->from, slot, GraceOf(job));
+               (*fleet_)[step->from].name, (*fleet_)[step->replacement_machine].name);
+  fleet_->RequestStop(step->from, slot, GracePeriodOf(job));
   fleet_->placement_needed = true;
   // From here on it counts as what it is: down until its replacement is healthy.
-  ledger_->Release(step->job, step->task);
-  step_book_.SetPhase(step, StepPhase::kStopping);
+  ledger_->ReleaseDisruption(step->job, step->task_index);
+  eviction_tracker_.SetPhase(step, EvictionPhase::kStopping);
   return true;
 }
 
-double Drainer::BoundOf(const DrainStep& step) const {
+double EvictionController::ReplacementTimeout(const Eviction& step) const {
   const double within = policy_ != nullptr ? policy_->times.replace_within_s : 0;
   return within * static_cast<double>(1U << std::min(step.tries, 16U));
 }
 
-bool Drainer::AdvanceReplacing(DrainStep* step) {
-  if (ledger_->Available(step->job, step->task)) {
+bool EvictionController::AdvanceReplacing(Eviction* step) {
+  if (ledger_->IsAvailable(step->job, step->task_index)) {
     if (Drain* drain = Find(step->drain)) ++drain->progress.replicas_moved;
-    Progressed(step->drain);
-    pauses_.erase(step->job);
+    RecordProgress(step->drain);
+    backoffs_.erase(step->job);
     return false;
   }
   if (policy_ == nullptr) return false;
-  if (clock_->Now() - step->phase_since < BoundOf(*step)) return true;
+  if (clock_->Now() - step->phase_since < ReplacementTimeout(*step)) return true;
   return TryElsewhere(step);
 }
 
-bool Drainer::TryElsewhere(DrainStep* step) {
+bool EvictionController::TryElsewhere(Eviction* step) {
   Job& job = (*job_store_)[step->job];
-  const Task& task = job.tasks[step->task];
+  const Task& task = job.tasks[step->task_index];
   ++step->tries;
   step->phase_since = clock_->Now();
   ReleasePlace(step);
   if (step->tries >= policy_->times.replacement_tries) {
-    Pause& pause = pauses_[step->job];
+    Backoff& pause = backoffs_[step->job];
     pause.seconds = std::clamp(pause.seconds * 2, kFirstPause, kLongestPause);
     pause.until = clock_->Now() + pause.seconds;
     if (Drain* drain = Find(step->drain)) ++drain->progress.steps_given_up;
     spdlog::warn("drain {}: the replacement of {}/{} does not become healthy; given up",
-                 step->drain, job.id, step->task);
+                 step->drain, job.id, step->task_index);
     return false;
   }
   if (task.phase != TaskPhase::kPlaced) return true;
-  TaskAttempt* slot = fleet_->FindAttempt(task.machine, step->job, step->task, task.attempt);
+  TaskAttempt* slot = fleet_->FindAttempt(task.machine, step->job, step->task_index, task.attempt);
   if (slot == nullptr || slot->running_since >= 0) return true;
   spdlog::warn("drain {}: {} does not start on {}; another machine is tried", step->drain,
                slot->task_name, (*fleet_)[task.machine].name);
@@ -149,29 +149,29 @@
   }
   fleet_->RequestStop(task.machine, slot, 0);
   fleet_->placement_needed = true;
-  const PlaceFinder::Result other = places_.Find(step->job, task.machine, true);
-  if (!other.wait) HoldPlace(step, other.machine);
+  const ReplacementFinder::Result other = places_.Find(step->job, task.machine, true);
+  if (!other.blocked) ReservePlace(step, other.machine);
   return true;
 }
 
-void Drainer::PlaceReplacements() {
-  for (DrainStep& step : step_book_.steps()) {
-    if (step.phase != StepPhase::kReplacing || step.place == kNoIndex) continue;
-    const MachineIndex place = step.place;
+void EvictionController::PlaceReplacements() {
+  for (Eviction& step : eviction_tracker_.evictions()) {
+    if (step.phase != EvictionPhase::kReplacing || step.replacement_machine == kNoIndex) continue;
+    const MachineIndex place = step.replacement_machine;
     const Job& job = (*job_store_)[step.job];
-    const Task& task = job.tasks[step.task];
+    const Task& task = job.tasks[step.task_index];
     if (task.phase == TaskPhase::kPlaced) {
       const TaskAttempt* slot =
-          fleet_->FindAttempt(task.machine, step.job, step.task, task.attempt);
+          fleet_->FindAttempt(task.machine, step.job, step.task_index, task.attempt);
       // The attempt before is still on its way out.
       if (slot != nullptr && !slot->wanted) continue;
     }
     ReleasePlace(&step);
     if (task.phase != TaskPhase::kWaiting || job.lifecycle != JobLifecycle::kActive) continue;
-    if (clock_->Now() < job.backoff_until || !free_capacity_->TeamRoom(job)) continue;
+    if (clock_->Now() < job.backoff_until || !free_capacity_->HasTeamQuota(job)) continue;
     if (!places_.StillFits(step.job, place)) continue;
-    fleet_->PlaceTask(place, step.job, step.task, fleet_->NewAttemptNumber());
-    free_capacity_->Take(job, place);
+    fleet_->PlaceTask(place, step.job, step.task_index, fleet_->NewAttemptNumber());
+    free_capacity_->Allocate(job, place);
     (*fleet_)[place].idle_since = -1;
   }
 }
--- a/src/drain/policy.cc
+++ b/src/drain/policy.cc
@@ -151,7 +151,7 @@
   return network.canonical();
 }
 
-void ReadDrainEntry(const SExpression& entry, const std::string& where, DrainOrder* drain,
+void ReadDrainEntry(const SExpression& entry, const std::string& where, DrainRequest* drain,
                     Reader* reader) {
   const std::string name = entry.Name();
   if (name == "machine") {
@@ -182,7 +182,7 @@
     reader->Fail("drains", "unknown entry '" + entry.Name() + "'");
     return;
   }
-  DrainOrder drain;
+  DrainRequest drain;
   drain.name = entry.Atom(1);
   if (drain.name.empty() || drain.name.size() > kLongestName) {
     reader->Fail("drain", "a name of 1 to " + std::to_string(kLongestName) + " bytes is missing");
@@ -204,7 +204,7 @@
   out->drains.push_back(std::move(drain));
 }
 
-void ReadTime(const SExpression& entry, DrainTimes* times, Reader* reader) {
+void ReadTime(const SExpression& entry, EvictionLimits* times, Reader* reader) {
   const std::string where = "steps";
   const std::string name = entry.Name();
   if (name == "settle-s") {
@@ -216,7 +216,7 @@
   } else if (name == "window-s") {
     times->window_s = reader->Number(entry, where, 1, 86400);
   } else if (name == "at-once") {
-    times->steps_at_once = static_cast<uint32_t>(reader->Whole(entry, where, 1, 1000));
+    times->max_evictions = static_cast<uint32_t>(reader->Whole(entry, where, 1, 1000));
   } else if (name == "replacement-tries") {
     times->replacement_tries = static_cast<uint32_t>(reader->Whole(entry, where, 1, 100));
   } else {
@@ -256,9 +256,9 @@
   return host.canonical() == *network;
 }
 
-const DrainOrder* DisruptionPolicy::Find(const std::string& drain) const {
+const DrainRequest* DisruptionPolicy::Find(const std::string& drain) const {
   auto it = std::find_if(drains.begin(), drains.end(),
-                         [&drain](const DrainOrder& d) { return d.name == drain; });
+                         [&drain](const DrainRequest& d) { return d.name == drain; });
   return it == drains.end() ? nullptr : &*it;
 }
 
@@ -300,7 +300,7 @@
     if (!known) return "budgets: no such team: " + budget.team;
   }
   const std::set<std::string> zones(settings.zones.begin(), settings.zones.end());
-  for (const DrainOrder& drain : policy.drains) {
+  for (const DrainRequest& drain : policy.drains) {
     const std::string& zone = drain.machines.zone;
     if (!zone.empty() && !zones.contains(zone)) {
       return "drain " + drain.name + ": no such zone: " + zone;
--- a/src/drain/policy.h
+++ b/src/drain/policy.h
@@ -28,7 +28,7 @@
   std::string team;
   std::string job_class;  // empty: all of the team's
   std::optional<DownLimit> down;
-  // Tasks of arrays that may be lost or stopped within DrainTimes::window_s.
+  // Tasks of arrays that may be lost or stopped within EvictionLimits::window_s.
   std::optional<uint32_t> stopped;
 };
 
@@ -47,7 +47,7 @@
                const std::string& machine_zone, const std::string& endpoint) const;
 };
 
-struct DrainOrder {
+struct DrainRequest {
   std::string name;
   MachineSelector machines;
   // Counted from when the drain was first taken up; none: arrays end by themselves.
@@ -56,12 +56,12 @@
 };
 
 // Times and bounds of steps.
-struct DrainTimes {
+struct EvictionLimits {
   double settle_s = 10;            // a replacement has run for so long before it counts
   double replace_within_s = 120;   // a step that takes longer is tried elsewhere
   double image_wait_s = 20;        // after it, a place without the image will do
   double window_s = 300;           // over which stopped tasks of arrays are counted
-  uint32_t steps_at_once = 64;     // in flight, over all drains
+  uint32_t max_evictions = 64;     // in flight, over all drains
   uint32_t replacement_tries = 3;  // after them a step is left to the ordinary placement
 };
 
@@ -69,11 +69,11 @@
   uint64_t revision = 0;
   DownLimit default_down;  // for teams without a budget of their own
   std::vector<DisruptionBudget> budgets;
-  std::vector<DrainOrder> drains;
-  DrainTimes times;
+  std::vector<DrainRequest> drains;
+  EvictionLimits times;
   std::string text;  // as it was read
 
-  const DrainOrder* Find(const std::string& drain) const;
+  const DrainRequest* Find(const std::string& drain) const;
 };
 
 // Reads the disruption file. Returns the reason why the text is none, or an empty string.
--- a/src/drain/policy_replicator.cc
+++ b/src/drain/policy_replicator.cc
@@ -25,7 +25,7 @@
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-size_t MostPolicyBytes(const Settings& settings) {
+size_t MaxPolicyBytes(const Settings& settings) {
   return static_cast<size_t>(settings.effective_state_limits.value_kb * 1024 * kValueShare);
 }
 
@@ -36,29 +36,30 @@
   ReadSoon();
 }
 
-bool PolicyReplicator::Confirmed(double since) const {
-  return confirmed_at_ >= 0 && confirmed_at_ >= since && clock_->Now() - confirmed_at_ < kFreshFor;
+bool PolicyReplicator::IsConfirmed(double since) const {
+  return confirmed_at_ >= 0 && confirmed_at_ >= since &&
+         clock_->Now() - confirmed_at_ < kConfirmationSeconds;
 }
 
 void PolicyReplicator::Tick() {
-  if (local_ == nullptr || busy_ || clock_->Now() < next_read_) return;
+  if (local_ == nullptr || call_in_flight_ || clock_->Now() < next_read_at_) return;
   Read();
 }
 
 void PolicyReplicator::Read() {
-  busy_ = true;
-  next_read_ = clock_->Now() + kReadEvery;
-  state_->Get(kKey, [this, asked_at = clock_->Now()](const KeyValueResponse& answer) {
-    busy_ = false;
+  call_in_flight_ = true;
+  next_read_at_ = clock_->Now() + kReadEvery;
+  key_value_store_->Get(kKey, [this, asked_at = clock_->Now()](const KeyValueResponse& answer) {
+    call_in_flight_ = false;
     if (answer.status != KeyValueStatus::kOk) {
-      next_read_ = clock_->Now() + kRetryAfter;
+      next_read_at_ = clock_->Now() + kRetryAfter;
       return;
     }
-    Stored(answer, asked_at);
+    HandleStoredPolicy(answer, asked_at);
   });
 }
 
-void PolicyReplicator::Stored(const KeyValueResponse& answer, double asked_at) {
+void PolicyReplicator::HandleStoredPolicy(const KeyValueResponse& answer, double asked_at) {
   if (!answer.found) {
     Write(0);
     return;
@@ -70,7 +71,7 @@
   const bool readable = ParseJson(row.value, &doc) && JsonU64(doc, "revision", &revision) &&
                         JsonString(doc, "text", &text);
   if (!readable) {
-    Complain("the stored disruption policy is unreadable; the file's takes its place");
+    LogOnce("the stored disruption policy is unreadable; the file's takes its place");
     Write(row.version);
     return;
   }
@@ -79,8 +80,8 @@
     return;
   }
   if (revision == local_->revision && text != local_->text) {
-    Complain("revision " + std::to_string(revision) +
-             " of the disruption file differs from the one in force; raise its revision");
+    LogOnce("revision " + std::to_string(revision) +
+            " of the disruption file differs from the one in force; raise its revision");
   }
   if (in_force_ == nullptr || in_force_->text != text) {
     if (!Adopt(text)) return;
@@ -96,7 +97,7 @@
     std::string bad = ReadPolicy(text, policy.get());
     if (bad.empty()) bad = CheckPolicy(*policy, *settings_);
     if (!bad.empty()) {
-      Complain("the stored disruption policy can't be used here: " + bad);
+      LogOnce("the stored disruption policy can't be used here: " + bad);
       return false;
     }
     in_force_ = std::move(policy);
@@ -110,19 +111,19 @@
   Transaction txn;
   txn.preconditions.push_back({kKey, version});
   txn.mutations.push_back({kKey, EncodePolicy(*local_), 0});
-  busy_ = true;
-  state_->Commit(txn, [this](const KeyValueResponse& answer) {
-    busy_ = false;
+  call_in_flight_ = true;
+  key_value_store_->Commit(txn, [this](const KeyValueResponse& answer) {
+    call_in_flight_ = false;
     if (answer.status == KeyValueStatus::kInvalid) {
-      Complain("the state service rejects the disruption policy");
+      LogOnce("the state service rejects the disruption policy");
       return;
     }
     // Written or overtaken: what is stored now is read again.
-    next_read_ = answer.status == KeyValueStatus::kOk ? 0 : clock_->Now() + kRetryAfter;
+    next_read_at_ = answer.status == KeyValueStatus::kOk ? 0 : clock_->Now() + kRetryAfter;
   });
 }
 
-void PolicyReplicator::Complain(const std::string& what) {
+void PolicyReplicator::LogOnce(const std::string& what) {
   if (what == complained_) return;
   complained_ = what;
   spdlog::error("{}", what);
--- /dev/null
+++ b/src/drain/replacement_finder.cc
@@ -0,0 +1,79 @@
+#include "drain/replacement_finder.h"
+
+#include <algorithm>
+
+namespace deckhall {
+namespace {
+
+// Machines that one search looks at.
+constexpr size_t kMostLooked = 256;
+// The machines with room are listed anew after so many seconds.
+constexpr double kOpenLasts = 1;
+constexpr double kLeastCores = 0.01;
+
+}  // namespace
+
+void ReplacementFinder::RefreshCandidates() {
+  const double now = clock_->Now();
+  if (candidates_refreshed_at_ >= 0 && now - candidates_refreshed_at_ < kOpenLasts) return;
+  candidates_refreshed_at_ = now;
+  candidates_ = Roaring();
+  for (uint32_t m : free_capacity_->MachinesWithRoom(kLeastCores)) candidates_.add(m);
+}
+
+std::vector<uint32_t> ReplacementFinder::NextCandidates() {
+  std::vector<uint32_t> some;
+  auto at = candidates_.begin();
+  at.equalorlarger(next_candidate_);
+  const uint64_t most = std::min<uint64_t>(kMostLooked, candidates_.cardinality());
+  while (some.size() < most) {
+    if (at == candidates_.end()) at = candidates_.begin();
+    some.push_back(*at);
+    ++at;
+  }
+  if (!some.empty()) next_candidate_ = some.back() + 1;
+  std::erase_if(some, [this](uint32_t m) { return !free_capacity_->Current(m).usable; });
+  examined_ += most;
+  return some;
+}
+
+ReplacementFinder::Result ReplacementFinder::Find(JobIndex j, MachineIndex from, bool fetch) {
+  const Job& job = (*job_store_)[j];
+  RefreshCandidates();
+  std::vector<uint32_t> on = job.machines;
+  if (auto it = std::find(on.begin(), on.end(), from); it != on.end()) on.erase(it);
+  std::vector<char> zones;
+  if (!free_capacity_->AllowedZones(job, on, &zones))
+    return {kNoIndex, false, {BlockedReason::kTakingOver, job.id}};
+  ResourceRequest need = free_capacity_->RequestFor(job, zones, on);
+  need.overdue = false;
+  std::vector<uint32_t> some = NextCandidates();
+  // Where it failed before, or did not start, it is not sent on purpose.
+  std::erase_if(some, [&job](uint32_t m) {
+    return std::find(job.failed_machines.begin(), job.failed_machines.end(), m) !=
+           job.failed_machines.end();
+  });
+  need.cached_only = true;
+  int at = BestFitQueue(&need, &free_capacity_->capacities(), some).PopBest(true);
+  if (at >= 0) return {static_cast<MachineIndex>(at), true, {}};
+  need.cached_only = false;
+  at = BestFitQueue(&need, &free_capacity_->capacities(), some).PopBest(true);
+  if (at >= 0 && fetch) return {static_cast<MachineIndex>(at), false, {}};
+  if (at >= 0) return {kNoIndex, false, {BlockedReason::kNoImage, job.id}};
+  const bool no_zone =
+      need.allowed_zones != nullptr &&
+      std::none_of(zones.begin(), zones.end(), [](char open) { return open != 0; });
+  return {kNoIndex, false, {no_zone ? BlockedReason::kZoneRule : BlockedReason::kNoPlace, job.id}};
+}
+
+bool ReplacementFinder::StillFits(JobIndex j, MachineIndex place) {
+  const Job& job = (*job_store_)[j];
+  std::vector<char> zones;
+  if (!free_capacity_->AllowedZones(job, job.machines, &zones)) return false;
+  const ResourceRequest need = free_capacity_->RequestFor(job, zones, job.machines);
+  const MachineCapacity& node = free_capacity_->Current(place);
+  return node.usable && SatisfiesConstraints(need, node.type, node.zone, node.spot) &&
+         Fits(need, node);
+}
+
+}  // namespace deckhall
--- a/src/drain/place_finder.h
+++ b/src/drain/replacement_finder.h
@@ -5,40 +5,40 @@
 #include <roaring/roaring.hh>
 #include <vector>
 
-#include "drain/wait_reason.h"
+#include "drain/blocked_reason.h"
 #include "leader/free_capacity.h"
 
 namespace deckhall {
 
-class PlaceFinder {
+class ReplacementFinder {
  public:
-  PlaceFinder(JobStore* job_store, FreeCapacity* free_capacity, const Clock* clock)
+  ReplacementFinder(JobStore* job_store, FreeCapacity* free_capacity, const Clock* clock)
       : job_store_(job_store), free_capacity_(free_capacity), clock_(clock) {}
 
   struct Result {
     MachineIndex machine = kNoIndex;
     bool has_image = false;
-    Wait wait;  // why there is none
+    BlockedState blocked;  // why there is none
   };
   // A place for one replica of the job that leaves `from`. `fetch`: where its image has to be
   // fetched will do.
   Result Find(JobIndex j, MachineIndex from, bool fetch);
   // Whether the job may have one more task there now, beside those that it has.
   bool StillFits(JobIndex j, MachineIndex place);
-  uint64_t looked_at() const { return looked_at_; }
+  uint64_t examined() const { return examined_; }
 
  private:
-  void RefreshOpen();
+  void RefreshCandidates();
   // Some machines that may have room, another part of the fleet each time.
-  std::vector<uint32_t> Some();
+  std::vector<uint32_t> NextCandidates();
 
   JobStore* job_store_;
   FreeCapacity* free_capacity_;
   const Clock* clock_;
-  Roaring open_;  // machines that had some room a moment ago
-  double open_at_ = -1;
-  uint32_t next_ = 0;  // the next search begins with this machine
-  uint64_t looked_at_ = 0;
+  Roaring candidates_;  // machines that had some room a moment ago
+  double candidates_refreshed_at_ = -1;
+  uint32_t next_candidate_ = 0;  // the next search begins with this machine
+  uint64_t examined_ = 0;
 };
 
 }  // namespace deckhall
--- a/src/leader/planner.cc
+++ b/src/leader/autoscaler.cc
@@ -1,4 +1,4 @@
-#include "leader/planner.h"
+#include "leader/autoscaler.h"
 
 #include <spdlog/spdlog.h>
 
@@ -11,63 +11,68 @@
 
 constexpr double kEps = 1e-6;
 // Of so many machines one may be emptied at a time.
-constexpr size_t kOneEmptiedOf = 64;
+constexpr size_t kMachinesPerConsolidation = 64;
 // Waiting work below this part of the capacity is the ordinary coming and going.
-constexpr double kLittleWaits = 0.01;
+constexpr double kNegligibleBacklogShare = 0.01;
 
-bool SameNeed(const Need& a, const Need& b) {
-  auto types = [](const Need& n) { return n.types == nullptr ? std::vector<char>() : *n.types; };
-  return a.cores == b.cores && a.memory_gb == b.memory_gb && a.gpus == b.gpus && a.zone == b.zone &&
-         a.spot_ok == b.spot_ok && types(a) == types(b);
+bool SameRequest(const ResourceRequest& a, const ResourceRequest& b) {
+  auto types = [](const ResourceRequest& n) {
+    return n.allowed_types == nullptr ? std::vector<char>() : *n.allowed_types;
+  };
+  return a.cores == b.cores && a.memory_gb == b.memory_gb && a.gpus == b.gpus &&
+         a.required_zone == b.required_zone && a.spot_tolerant == b.spot_tolerant &&
+         types(a) == types(b);
 }
 
 // Jobs by the hundred have few different needs: the plan's work grows with those.
-void AddWant(std::vector<Want>* wants, size_t from, const Need& need, uint32_t count) {
+void AddDemand(std::vector<ResourceDemand>* wants, size_t from, const ResourceRequest& need,
+               uint32_t count) {
   for (size_t i = from; i < wants->size(); ++i) {
-    if ((*wants)[i].one_zone || !SameNeed((*wants)[i].need, need)) continue;
+    if ((*wants)[i].single_zone || !SameRequest((*wants)[i].request, need)) continue;
     (*wants)[i].count += count;
     return;
   }
-  Want w;
-  w.need = need;
+  ResourceDemand w;
+  w.request = need;
   w.count = count;
   wants->push_back(w);
 }
 
 }  // namespace
 
-Planner::Planner(JobStore* job_store, Fleet* fleet, FreeCapacity* free_capacity,
-                 const Ranking* ranking, Rentals* rentals, const DisruptionLedger* ledger,
-                 const Drainer* drainer, const Clock* clock, const Settings* settings,
-                 const Tuning* tuning)
+Autoscaler::Autoscaler(JobStore* job_store, Fleet* fleet, FreeCapacity* free_capacity,
+                       const Ranking* ranking, Provisioner* provisioner,
+                       const DisruptionLedger* ledger, const EvictionController* drainer,
+                       const Clock* clock, const Settings* settings, const Tuning* tuning)
     : job_store_(job_store),
       fleet_(fleet),
       free_capacity_(free_capacity),
       ranking_(ranking),
-      rentals_(rentals),
+      provisioner_(provisioner),
       ledger_(ledger),
       drainer_(drainer),
       clock_(clock),
       settings_(settings),
       tuning_(tuning) {}
 
-void Planner::Plan() {
-  if (!rentals_->types_known()) return;
+void Autoscaler::Plan() {
+  if (!provisioner_->types_known()) return;
   free_capacity_->Refresh();
-  Rent();
-  ReturnIdle();
+  ScaleOut();
+  ScaleInIdle();
   Consolidate();
 }
 
 // What can be rented, and the room that is there or on its way.
-std::vector<Offer> Planner::Offers(std::vector<Node>* bins, int* machines) const {
+std::vector<InstanceOffering> Autoscaler::CollectOfferings(std::vector<MachineCapacity>* bins,
+                                                           int* machines) const {
   const double now = clock_->Now();
   const double wall = clock_->Wall();
-  std::vector<Offer> offers;
-  for (size_t p = 0; p < rentals_->pools().size(); ++p) {
-    const Pool& pool = rentals_->pools()[p];
-    const MachineType* type = rentals_->TypeOf(pool.type);
-    Offer o;
+  std::vector<InstanceOffering> offers;
+  for (size_t p = 0; p < provisioner_->pools().size(); ++p) {
+    const MachinePool& pool = provisioner_->pools()[p];
+    const MachineType* type = provisioner_->TypeOf(pool.type);
+    InstanceOffering o;
     o.type = pool.type;
     o.zone = pool.zone;
     o.spot = pool.spot;
@@ -79,10 +84,11 @@
       o.boot_s = type->boot_s;
     }
     // What is rented behind a cut can't be used before the cut ends.
-    o.refused = type == nullptr || now < pool.refused_until || free_capacity_->Cut(pool.zone) ||
-                drainer_->Closes(job_store_->types[pool.type], job_store_->zones[pool.zone]);
-    const int pending = rentals_->Pending(static_cast<uint32_t>(p));
-    o.existing = pending;
+    o.unavailable =
+        type == nullptr || now < pool.backoff_until || free_capacity_->IsPartitioned(pool.zone) ||
+        drainer_->PreventsScaleOut(job_store_->types[pool.type], job_store_->zones[pool.zone]);
+    const int pending = provisioner_->PendingMachines(static_cast<uint32_t>(p));
+    o.existing_machines = pending;
     // Machines asked for count as if they were booting.
     for (int i = 0; i < pending; ++i) {
       bins->push_back(EmptyMachine(o));
@@ -98,23 +104,23 @@
         !(m.reconciled && Fleet::HasAcknowledgedToken(m)))
       continue;
     ++*machines;
-    for (Offer& o : offers) {
-      if (o.type == m.type && o.zone == m.zone && o.spot == m.spot) ++o.existing;
+    for (InstanceOffering& o : offers) {
+      if (o.type == m.type && o.zone == m.zone && o.spot == m.spot) ++o.existing_machines;
     }
-    const Node& room = free_capacity_->nodes()[mi];
+    const MachineCapacity& room = free_capacity_->capacities()[mi];
     if (room.cores <= kEps || m.cordoned) continue;
     bool usable = room.usable;
-    if (m.zone != kNoIndex && free_capacity_->Cut(m.zone)) continue;
+    if (m.zone != kNoIndex && free_capacity_->IsPartitioned(m.zone)) continue;
     if (!m.up) {
-      const MachineType* type = rentals_->TypeOf(m.type);
+      const MachineType* type = provisioner_->TypeOf(m.type);
       usable =
           type != nullptr && wall - m.provisioned_at_wall < type->boot_s * tuning_->late_boot + 5;
     } else if (!usable) {
       usable = !m.unschedulable && m.preemption_at < 0 && now >= m.quarantined_until &&
-               m.unreachable_count < 2 && free_capacity_->HeardLately(m);
+               m.unreachable_count < 2 && free_capacity_->IsHeardRecently(m);
     }
     if (!usable) continue;
-    Node n;
+    MachineCapacity n;
     n.machine = mi;
     n.type = room.type;
     n.zone = room.zone;
@@ -128,19 +134,19 @@
   return offers;
 }
 
-std::vector<Want> Planner::Wants(double* waiting) {
+std::vector<ResourceDemand> Autoscaler::CollectDemands(double* waiting) {
   const double now = clock_->Now();
-  std::vector<Want> wants;
+  std::vector<ResourceDemand> wants;
   static const std::vector<char> kAnyZone;
   static const std::vector<uint32_t> kNowhere;
   auto need_of = [this](const Job& job) {
-    Need n = free_capacity_->NeedOf(job, kAnyZone, kNowhere);
-    n.avoid = nullptr;
+    ResourceRequest n = free_capacity_->RequestFor(job, kAnyZone, kNowhere);
+    n.failed_machines = nullptr;
     return n;
   };
   // What each team may still use.
   std::vector<double> room(job_store_->teams.size());
-  for (uint32_t t = 0; t < room.size(); ++t) room[t] = free_capacity_->TeamLeft(t);
+  for (uint32_t t = 0; t < room.size(); ++t) room[t] = free_capacity_->TeamQuotaLeft(t);
   auto within_limit = [&room](const Job& job, uint32_t count) {
     double& r = room[job.team];
     if (job.spec.cores > 0) {
@@ -154,21 +160,23 @@
     const Job& job = (*job_store_)[j];
     if (!job.spec.service || job.waiting_tasks.empty()) continue;
     const uint32_t n = within_limit(job, static_cast<uint32_t>(job.waiting_tasks.size()));
-    if (n > 0) AddWant(&wants, 0, need_of(job), n);
+    if (n > 0) AddDemand(&wants, 0, need_of(job), n);
   }
   // Replicas that drains move next need room before they are stopped.
-  for (JobIndex j : drainer_->room_wanted()) AddWant(&wants, 0, need_of((*job_store_)[j]), 1);
+  for (JobIndex j : drainer_->jobs_needing_room())
+    AddDemand(&wants, 0, need_of((*job_store_)[j]), 1);
   double lent = 0;  // kept room that arrays may use meanwhile
   const double headroom = free_capacity_->headroom();
-  if (free_capacity_->unit_cores() > 0) {
-    Need need;
-    need.cores = free_capacity_->unit_cores();
-    need.memory_gb = free_capacity_->unit_memory();
+  if (free_capacity_->largest_replica_cores() > 0) {
+    ResourceRequest need;
+    need.cores = free_capacity_->largest_replica_cores();
+    need.memory_gb = free_capacity_->largest_replica_memory_gb();
     // Arrays on ordinary machines give way: their room counts as kept.
-    const double open = std::max(0.0, headroom - free_capacity_->lent_reserve());
+    const double open = std::max(0.0, headroom - free_capacity_->preemptible_reserve());
     lent = std::max(0.0, open - headroom * tuning_->headroom_reserved_share);
-    const auto count = static_cast<uint32_t>(std::ceil(open / free_capacity_->unit_cores()));
-    if (count > 0) AddWant(&wants, wants.size(), need, count);
+    const auto count =
+        static_cast<uint32_t>(std::ceil(open / free_capacity_->largest_replica_cores()));
+    if (count > 0) AddDemand(&wants, wants.size(), need, count);
   }
   // Arrays: enough to work off what waits in the time the operator set.
   auto waits = [now](const Job& job) {
@@ -181,7 +189,7 @@
     if (!waits(job) || job.spec.gang) continue;
     const double cores = job.spec.cores * static_cast<double>(job.waiting_tasks.size());
     *waiting += cores;
-    backlog += cores * ranking_->TaskSeconds(job);
+    backlog += cores * ranking_->ExpectedTaskSeconds(job);
   }
   size_t from = wants.size();
   for (JobIndex j : ranking_->order()) {
@@ -194,7 +202,7 @@
       // Each such gang may be in another zone, but must be in one.
       wants.push_back({need_of(job), n, true});
     } else {
-      AddWant(&wants, from, need_of(job), n);
+      AddDemand(&wants, from, need_of(job), n);
     }
   }
   from = wants.size();
@@ -209,39 +217,39 @@
     n = within_limit(job, n);
     if (n == 0) continue;
     left -= n * per;
-    AddWant(&wants, from, need_of(job), n);
+    AddDemand(&wants, from, need_of(job), n);
   }
   return wants;
 }
 
-void Planner::Rent() {
-  std::vector<Node> bins;
+void Autoscaler::ScaleOut() {
+  std::vector<MachineCapacity> bins;
   int machines = 0;
-  const std::vector<Offer> offers = Offers(&bins, &machines);
+  const std::vector<InstanceOffering> offers = CollectOfferings(&bins, &machines);
   double waiting = 0;
-  const std::vector<Want> wants = Wants(&waiting);
+  const std::vector<ResourceDemand> wants = CollectDemands(&waiting);
   const int most = std::max(0, MaxMachines(*settings_) - machines);
-  for (const Rental& r : PlanRentals(offers, std::move(bins), wants, most)) {
+  for (const ScaleOutDecision& r : PlanScaleOut(offers, std::move(bins), wants, most)) {
     char why[160];
     std::snprintf(why, sizeof why, "%.0f cores of arrays wait, %.0f kept for replicas", waiting,
                   free_capacity_->headroom());
-    rentals_->Rent(r.offer, r.count, why);
+    provisioner_->ScaleOut(r.offering, r.count, why);
   }
 }
 
 // As services end, the rest of them is spread thinly over ordinary machines. The
 // emptiest ones are emptied, a replica at a time, each to where its image is.
-void Planner::Consolidate() {
+void Autoscaler::Consolidate() {
   const double now = clock_->Now();
-  bool waits = fleet_->CountUnreconciled() > 0 || rentals_->Renting();
+  bool waits = fleet_->CountUnreconciled() > 0 || provisioner_->HasPendingRequests();
   double waiting = 0;
   for (JobIndex j : job_store_->active_jobs()) {
     const Job& job = (*job_store_)[j];
     waits = waits || (job.spec.service && !job.waiting_tasks.empty());
     waiting += job.spec.cores * static_cast<double>(job.waiting_tasks.size());
   }
-  waits = waits || waiting > kLittleWaits * free_capacity_->capacity();
-  const size_t most = 1 + fleet_->active().size() / kOneEmptiedOf;
+  waits = waits || waiting > kNegligibleBacklogShare * free_capacity_->total_cores();
+  const size_t most = 1 + fleet_->active().size() / kMachinesPerConsolidation;
   std::vector<MachineIndex> emptying;
   std::vector<std::pair<double, MachineIndex>> thin;
   for (MachineIndex mi : fleet_->active()) {
@@ -251,7 +259,7 @@
       emptying.push_back(mi);
       continue;
     }
-    if (m.spot || !free_capacity_->nodes()[mi].usable || now - m.up_at <= tuning_->settled_s)
+    if (m.spot || !free_capacity_->capacities()[mi].usable || now - m.up_at <= tuning_->settled_s)
       continue;
     const bool settled =
         std::all_of(m.attempts.begin(), m.attempts.end(), [this, now](const TaskAttempt& s) {
@@ -266,7 +274,7 @@
       // Its room is needed after all.
       m.consolidating = m.unschedulable = false;
     } else if (!waits && now - m.last_move_at > 0.5) {
-      MoveOne(mi);
+      MoveOneReplica(mi);
     }
   }
   if (waits) return;
@@ -275,9 +283,9 @@
   for (const auto& [used, mi] : thin) {
     if (emptying.size() >= most) return;
     Machine& m = (*fleet_)[mi];
-    const double others = free - std::max(0.0, free_capacity_->nodes()[mi].cores);
+    const double others = free - std::max(0.0, free_capacity_->capacities()[mi].cores);
     const double kept = free_capacity_->headroom() * (1 + tuning_->consolidate_spare) +
-                        free_capacity_->room_ahead();
+                        free_capacity_->planned_cores();
     if (others < used + kept) return;
     free = others - used;
     m.consolidating = m.unschedulable = true;
@@ -288,24 +296,24 @@
   }
 }
 
-void Planner::MoveOne(MachineIndex mi) {
+void Autoscaler::MoveOneReplica(MachineIndex mi) {
   Machine& m = (*fleet_)[mi];
   for (TaskAttempt& s : m.attempts) {
     if (s.released || !s.wanted || s.job == kNoIndex || s.state != TaskState::kRunning) continue;
     const Job& job = (*job_store_)[s.job];
     if (!job.spec.service) continue;                     // arrays end by themselves
     if (job.tasks_running < job.tasks.size()) continue;  // one replica of a job at a time
-    if (ledger_->AllowsReplica(s.job)) continue;
+    if (ledger_->BlockedFromEvicting(s.job)) continue;
     std::vector<uint32_t> on = job.machines;
     on.erase(std::find(on.begin(), on.end(), mi));
     std::vector<char> zones;
-    if (!free_capacity_->ZoneRoom(job, on, &zones)) continue;
-    Need need = free_capacity_->NeedOf(job, zones, on);
-    need.patient = false;
-    need.here_only = true;
-    const std::vector<uint32_t> open = free_capacity_->Open(job.spec.cores);
+    if (!free_capacity_->AllowedZones(job, on, &zones)) continue;
+    ResourceRequest need = free_capacity_->RequestFor(job, zones, on);
+    need.overdue = false;
+    need.cached_only = true;
+    const std::vector<uint32_t> open = free_capacity_->MachinesWithRoom(job.spec.cores);
     // It is itself drained, and so not among them.
-    if (Picker(&need, &free_capacity_->nodes(), open).Next(true) < 0) continue;
+    if (BestFitQueue(&need, &free_capacity_->capacities(), open).PopBest(true) < 0) continue;
     spdlog::info("moving {} off {}", s.task_name, m.name);
     fleet_->RequestStop(mi, &s, 0);
     m.last_move_at = clock_->Now();
@@ -315,13 +323,13 @@
 }
 
 // Empty machines that are of no more use, however much waits.
-bool Planner::ReturnIfUseless(MachineIndex mi, double boot) {
+bool Autoscaler::ScaleInIfUseless(MachineIndex mi, double boot) {
   Machine& m = (*fleet_)[mi];
   const double now = clock_->Now();
   if (!m.up) {
     if (clock_->Wall() - m.provisioned_at_wall > boot * tuning_->give_up_boot &&
         now - m.discovered_at > boot) {
-      rentals_->Return(mi, "does not come up");
+      provisioner_->ScaleIn(mi, "does not come up");
     }
     return true;
   }
@@ -330,42 +338,42 @@
     return true;
   }
   if (m.idle_since < 0) m.idle_since = now;
-  const char* why = m.preemption_at >= 0                  ? "the cloud takes it, and it is empty"
-                    : rentals_->TypeOf(m.type) == nullptr ? "its type is not offered"
-                    : m.quarantine_count >= 2             ? "fails the tasks it starts"
-                    : m.consolidating                     ? "emptied"
+  const char* why = m.preemption_at >= 0 ? "the cloud takes it, and it is empty"
+                    : provisioner_->TypeOf(m.type) == nullptr     ? "its type is not offered"
+                    : m.quarantine_count >= 2                     ? "fails the tasks it starts"
+                    : m.consolidating                             ? "emptied"
                     : m.scale_in_when_empty && m.attempts.empty() ? "drained"
                                                                   : nullptr;
-  if (why != nullptr) rentals_->Return(mi, why);
+  if (why != nullptr) provisioner_->ScaleIn(mi, why);
   return why != nullptr;
 }
 
-void Planner::ReturnIdle() {
+void Autoscaler::ScaleInIdle() {
   const double now = clock_->Now();
   bool services_wait = false;
   double waiting = 0;
   for (JobIndex j : job_store_->active_jobs()) {
     const Job& job = (*job_store_)[j];
-    if (job.waiting_tasks.empty() || now < job.backoff_until || !free_capacity_->TeamRoom(job))
+    if (job.waiting_tasks.empty() || now < job.backoff_until || !free_capacity_->HasTeamQuota(job))
       continue;
     services_wait = services_wait || job.spec.service;
     waiting += job.spec.cores * static_cast<double>(job.waiting_tasks.size());
   }
-  double free_ordinary = free_capacity_->free_ordinary() + free_capacity_->lent_reserve();
+  double free_ordinary = free_capacity_->free_ordinary() + free_capacity_->preemptible_reserve();
   for (MachineIndex mi : fleet_->active()) {
     Machine& m = (*fleet_)[mi];
     if (m.scaling_in || m.partitioned) continue;
-    const MachineType* type = rentals_->TypeOf(m.type);
+    const MachineType* type = provisioner_->TypeOf(m.type);
     const double boot = type == nullptr ? 60 : type->boot_s;
-    if (ReturnIfUseless(mi, boot)) continue;
+    if (ScaleInIfUseless(mi, boot)) continue;
     const double idle = now - m.idle_since;
     if (m.spot) {
-      if (idle > tuning_->idle_spot_boots * boot && waiting <= 0) rentals_->Return(mi, "idle");
+      if (idle > tuning_->idle_spot_boots * boot && waiting <= 0) provisioner_->ScaleIn(mi, "idle");
     } else if (idle > tuning_->idle_ordinary_boots * boot && !services_wait &&
                free_ordinary - type->cores >=
-                   free_capacity_->headroom() + free_capacity_->room_ahead()) {
+                   free_capacity_->headroom() + free_capacity_->planned_cores()) {
       free_ordinary -= type->cores;
-      rentals_->Return(mi, "idle");
+      provisioner_->ScaleIn(mi, "idle");
     }
   }
 }
--- a/src/leader/gang_placer.cc
+++ b/src/leader/gang_placer.cc
@@ -15,7 +15,7 @@
 }  // namespace
 
 GangPlacer::GangPlacer(JobStore* job_store, Fleet* fleet, FreeCapacity* free_capacity,
-                       Preemption* preemption, const Clock* clock, const Tuning* tuning)
+                       Preemptor* preemption, const Clock* clock, const Tuning* tuning)
     : job_store_(job_store),
       fleet_(fleet),
       free_capacity_(free_capacity),
@@ -50,39 +50,39 @@
 }
 
 void GangPlacer::TakeOnTrial(const Job& job, uint32_t node) {
-  Node& n = free_capacity_->nodes()[node];
+  MachineCapacity& n = free_capacity_->capacities()[node];
   n.cores -= job.spec.cores;
   n.gpus -= job.spec.gpus;
   n.memory_gb -= job.spec.memory_gb;
-  n.coming.push_back(job.image);
+  n.fetching_images.push_back(job.image);
 }
 
 void GangPlacer::GiveBack(const Job& job, uint32_t node) {
-  Node& n = free_capacity_->nodes()[node];
+  MachineCapacity& n = free_capacity_->capacities()[node];
   n.cores += job.spec.cores;
   n.gpus += job.spec.gpus;
   n.memory_gb += job.spec.memory_gb;
-  n.coming.pop_back();
+  n.fetching_images.pop_back();
 }
 
 bool GangPlacer::Find(const Job& job, const std::vector<char>& zones,
                       const std::vector<uint32_t>& open, Plan* plan) {
   const size_t count = job.waiting_tasks.size();
   std::vector<char> allowed = zones;
-  const Need need = free_capacity_->NeedOf(job, allowed, plan->nodes);
-  Picker picker(&need, &free_capacity_->nodes(), open);
-  free_capacity_->steps += open.size();
+  const ResourceRequest need = free_capacity_->RequestFor(job, allowed, plan->nodes);
+  BestFitQueue picker(&need, &free_capacity_->capacities(), open);
+  free_capacity_->work_units += open.size();
   while (plan->nodes.size() < count) {
     // How the zones may be used changes with each task if they must be apart.
-    if (job.spec.anti_affinity && !free_capacity_->ZoneRoom(job, plan->nodes, &allowed)) break;
-    const int at = picker.Next(true);
+    if (job.spec.anti_affinity && !free_capacity_->AllowedZones(job, plan->nodes, &allowed)) break;
+    const int at = picker.PopBest(true);
     if (at < 0) break;
     const auto node = static_cast<uint32_t>(at);
     plan->last_start = std::max(plan->last_start, picker.cost());
     plan->cost += picker.cost();
     plan->nodes.push_back(node);
     TakeOnTrial(job, node);
-    picker.Again(at);
+    picker.Reinsert(at);
   }
   for (uint32_t node : plan->nodes) GiveBack(job, node);
   return plan->nodes.size() == count;
@@ -91,14 +91,14 @@
 void GangPlacer::Put(JobIndex j, uint32_t node) {
   Job& job = (*job_store_)[j];
   fleet_->PlaceTask(node, j, job.waiting_tasks.back(), job.gang_attempt);
-  free_capacity_->Take(job, node);
+  free_capacity_->Allocate(job, node);
   (*fleet_)[node].idle_since = -1;
 }
 
 void GangPlacer::Start(JobIndex j, const std::vector<uint32_t>& open) {
   Job& job = (*job_store_)[j];
   if (job.waiting_tasks.size() < job.tasks.size() ||
-      !free_capacity_->TeamRoom(job, job.tasks.size()))
+      !free_capacity_->HasTeamQuota(job, job.tasks.size()))
     return;
   const std::vector<std::vector<char>> zone_sets = ZoneSets(job);
   Plan best;
@@ -130,12 +130,12 @@
   if (clock_->Now() - job.waiting_since > tuning_->gang_long_fetch_s / 2) return false;
   // Machines on which it failed count as if they started it late; that is no fetch.
   if (!job.failed_machines.empty()) return false;
-  Preemption::Request request;
+  Preemptor::RoomRequest request;
   request.job = j;
-  request.image_here = true;
-  request.most_loss = tuning_->preempt_for_image * otherwise.last_start * job.spec.cores;
+  request.cached_image_only = true;
+  request.max_loss_per_place = tuning_->preempt_for_image * otherwise.last_start * job.spec.cores;
   const std::vector<MachineIndex> machines = preemption_->MakeGangRoom(request, zone_sets);
-  for (MachineIndex mi : machines) free_capacity_->nodes()[mi].usable = false;
+  for (MachineIndex mi : machines) free_capacity_->capacities()[mi].usable = false;
   return !machines.empty();
 }
 
@@ -148,15 +148,15 @@
 
 void GangPlacer::Complete(JobIndex j, const std::vector<uint32_t>& open) {
   Job& job = (*job_store_)[j];
-  if (!free_capacity_->TeamRoom(job, job.waiting_tasks.size())) return;
+  if (!free_capacity_->HasTeamQuota(job, job.waiting_tasks.size())) return;
   std::vector<char> zones;
   std::vector<uint32_t> on = job.machines;
-  if (!free_capacity_->ZoneRoom(job, on, &zones)) return;
-  const Need need = free_capacity_->NeedOf(job, zones, on);
-  Picker picker(&need, &free_capacity_->nodes(), open);
-  free_capacity_->steps += open.size();
+  if (!free_capacity_->AllowedZones(job, on, &zones)) return;
+  const ResourceRequest need = free_capacity_->RequestFor(job, zones, on);
+  BestFitQueue picker(&need, &free_capacity_->capacities(), open);
+  free_capacity_->work_units += open.size();
   while (!job.waiting_tasks.empty()) {
-    const int at = picker.Next(true);
+    const int at = picker.PopBest(true);
     if (at < 0) return;
     const auto node = static_cast<uint32_t>(at);
     if (WasThere(j, job.waiting_tasks.back(), job.gang_attempt, node)) continue;
@@ -164,18 +164,18 @@
                  (*fleet_)[node].name);
     on.push_back(node);
     Put(j, node);
-    picker.Again(at);
-    if (job.spec.anti_affinity && !free_capacity_->ZoneRoom(job, on, &zones)) return;
+    picker.Reinsert(at);
+    if (job.spec.anti_affinity && !free_capacity_->AllowedZones(job, on, &zones)) return;
   }
 }
 
 std::vector<MachineIndex> GangPlacer::Likely(const Job& job, const std::vector<char>& zones) const {
-  const Need need = free_capacity_->NeedOf(job, zones, {});
-  const std::vector<Node>& nodes = free_capacity_->nodes();
+  const ResourceRequest need = free_capacity_->RequestFor(job, zones, {});
+  const std::vector<MachineCapacity>& nodes = free_capacity_->capacities();
   std::vector<MachineIndex> order;
   for (MachineIndex mi : fleet_->active()) {
-    const Node& n = nodes[mi];
-    if (n.usable && Allows(need, n.type, n.zone, n.spot)) order.push_back(mi);
+    const MachineCapacity& n = nodes[mi];
+    if (n.usable && SatisfiesConstraints(need, n.type, n.zone, n.spot)) order.push_back(mi);
   }
   std::stable_sort(order.begin(), order.end(), [&nodes](MachineIndex a, MachineIndex b) {
     return nodes[a].cores > nodes[b].cores;
@@ -200,7 +200,7 @@
   const Job& job = (*job_store_)[j];
   std::vector<MachineIndex> machines;
   if (clock_->Now() - job.waiting_since >= tuning_->preempt_after_s) {
-    Preemption::Request request;
+    Preemptor::RoomRequest request;
     request.job = j;
     machines = preemption_->MakeGangRoom(request, zone_sets);
   }
@@ -208,7 +208,7 @@
     if (!machines.empty()) break;
     machines = Likely(job, zones);
   }
-  for (MachineIndex mi : machines) free_capacity_->nodes()[mi].usable = false;
+  for (MachineIndex mi : machines) free_capacity_->capacities()[mi].usable = false;
 }
 
 }  // namespace deckhall
--- a/src/leader/gang_placer.h
+++ b/src/leader/gang_placer.h
@@ -4,13 +4,13 @@
 #include <vector>
 
 #include "leader/free_capacity.h"
-#include "leader/preemption.h"
+#include "leader/preemptor.h"
 
 namespace deckhall {
 
 class GangPlacer {
  public:
-  GangPlacer(JobStore* job_store, Fleet* fleet, FreeCapacity* free_capacity, Preemption* preemption,
+  GangPlacer(JobStore* job_store, Fleet* fleet, FreeCapacity* free_capacity, Preemptor* preemption,
              const Clock* clock, const Tuning* tuning);
 
   void BeginPass() { reservations_ = 0; }
@@ -52,7 +52,7 @@
   JobStore* job_store_;
   Fleet* fleet_;
   FreeCapacity* free_capacity_;
-  Preemption* preemption_;
+  Preemptor* preemption_;
   const Clock* clock_;
   const Tuning* tuning_;
   int reservations_ = 0;  // in this pass
--- a/src/leader/gang_keeper.cc
+++ b/src/leader/gang_supervisor.cc
@@ -1,4 +1,4 @@
-#include "leader/gang_keeper.h"
+#include "leader/gang_supervisor.h"
 
 #include <spdlog/spdlog.h>
 
@@ -19,11 +19,11 @@
 
 }  // namespace
 
-GangKeeper::GangKeeper(JobStore* job_store, Fleet* fleet, const Ranking* ranking,
-                       const Clock* clock, const Settings* settings)
+GangSupervisor::GangSupervisor(JobStore* job_store, Fleet* fleet, const Ranking* ranking,
+                               const Clock* clock, const Settings* settings)
     : job_store_(job_store), fleet_(fleet), ranking_(ranking), clock_(clock), settings_(settings) {}
 
-void GangKeeper::ForEach(JobIndex j, const Visit& visit) {
+void GangSupervisor::ForEachAttempt(JobIndex j, const Visit& visit) {
   std::vector<uint32_t> machines = (*job_store_)[j].machines;
   std::sort(machines.begin(), machines.end());
   machines.erase(std::unique(machines.begin(), machines.end()), machines.end());
@@ -34,22 +34,22 @@
   }
 }
 
-GangKeeper::Attempt GangKeeper::Look(JobIndex j) {
+GangSupervisor::Attempt GangSupervisor::ObserveAttempt(JobIndex j) {
   Attempt attempt;
-  ForEach(j, [&attempt](MachineIndex, TaskAttempt* slot) {
+  ForEachAttempt(j, [&attempt](MachineIndex, TaskAttempt* slot) {
     if (slot->wanted) attempt.number = std::max(attempt.number, slot->number);
   });
-  ForEach(j, [&attempt](MachineIndex, TaskAttempt* slot) {
+  ForEachAttempt(j, [&attempt](MachineIndex, TaskAttempt* slot) {
     if (slot->number != attempt.number) return;
-    attempt.saving = attempt.saving || slot->state == TaskState::kCheckpointing;
+    attempt.checkpointing = attempt.checkpointing || slot->state == TaskState::kCheckpointing;
     if (slot->running_since < 0) return;
     attempt.running_since = std::max(attempt.running_since, slot->running_since);
   });
-  attempt.started = attempt.running_since >= 0 || attempt.saving;
+  attempt.started = attempt.running_since >= 0 || attempt.checkpointing;
   return attempt;
 }
 
-void GangKeeper::TaskEnded(const TaskAttempt& slot) {
+void GangSupervisor::HandleTaskExit(const TaskAttempt& slot) {
   Job& job = (*job_store_)[slot.job];
   if (!job.spec.gang || slot.number != job.gang_attempt) return;
   switch (slot.exit_reason) {
@@ -64,9 +64,9 @@
   }
 }
 
-void GangKeeper::Stop(JobIndex j, double grace_s, const char* why) {
+void GangSupervisor::StopAttempts(JobIndex j, double grace_s, const char* why) {
   size_t stopped = 0;
-  ForEach(j, [this, grace_s, &stopped](MachineIndex mi, TaskAttempt* slot) {
+  ForEachAttempt(j, [this, grace_s, &stopped](MachineIndex mi, TaskAttempt* slot) {
     if (!slot->wanted) return;
     fleet_->RequestStop(mi, slot, grace_s);
     ++stopped;
@@ -76,15 +76,15 @@
   spdlog::info("stopping {} tasks of gang {}: {}", stopped, (*job_store_)[j].id, why);
 }
 
-bool GangKeeper::TooLateToComplete(const Job& job) const {
+bool GangSupervisor::IsTooLateToComplete(const Job& job) const {
   const double now = clock_->Now();
   return now - job.waiting_since > kReplaceWithin ||
          now - job.gang_waiting_since > settings_->gang_wait_s - kLeastToGather;
 }
 
-void GangKeeper::Check(JobIndex j) {
+void GangSupervisor::CheckGang(JobIndex j) {
   Job& job = (*job_store_)[j];
-  const Attempt attempt = Look(j);
+  const Attempt attempt = ObserveAttempt(j);
   if (attempt.number == 0) return;
   if (attempt.number != job.gang_attempt) {
     // Started by an earlier leader.
@@ -93,42 +93,43 @@
     job.gang_started = job.gang_broken = false;
   }
   job.gang_started = job.gang_started || attempt.started;
-  ForEach(j, [this, &attempt](MachineIndex mi, TaskAttempt* slot) {
+  ForEachAttempt(j, [this, &attempt](MachineIndex mi, TaskAttempt* slot) {
     // What is left of an attempt before never comes together again.
     if (slot->wanted && slot->number != attempt.number) fleet_->RequestStop(mi, slot, 0);
   });
-  if (attempt.saving) {
+  if (attempt.checkpointing) {
     // A stop that an earlier leader did not finish: all tasks must be told soon.
-    Stop(j, job.spec.checkpoint_grace_s + kSaveMargin, "others of them save already");
+    StopAttempts(j, job.spec.checkpoint_grace_s + kSaveMargin, "others of them save already");
   } else if (job.gang_broken || (job.gang_started && !job.waiting_tasks.empty())) {
     // They would notice it later and end all the same.
-    Stop(j, 0, "a task of the gang is gone");
-  } else if (!job.waiting_tasks.empty() && TooLateToComplete(job)) {
-    Stop(j, 0, "no room for a lost task in time");
+    StopAttempts(j, 0, "a task of the gang is gone");
+  } else if (!job.waiting_tasks.empty() && IsTooLateToComplete(job)) {
+    StopAttempts(j, 0, "no room for a lost task in time");
   }
 }
 
-void GangKeeper::Tick() {
+void GangSupervisor::CheckGangs() {
   for (JobIndex j : job_store_->active_jobs()) {
     const Job& job = (*job_store_)[j];
-    if (job.spec.gang && job.tasks_placed > 0) Check(j);
+    if (job.spec.gang && job.tasks_placed > 0) CheckGang(j);
   }
 }
 
-bool GangKeeper::Saves(const JobSpec& spec) const {
+bool GangSupervisor::CanCheckpoint(const JobSpec& spec) const {
   return spec.checkpoint_interval_s > 0 &&
          spec.checkpoint_grace_s + kSaveMargin <= settings_->gang_loss_detection_s;
 }
 
-void GangKeeper::StopWhole(JobIndex j, const char* why) {
+void GangSupervisor::StopGang(JobIndex j, const char* why) {
   const JobSpec& spec = (*job_store_)[j].spec;
-  Stop(j, Saves(spec) ? spec.checkpoint_grace_s + kSaveMargin : 0, why);
+  StopAttempts(j, CanCheckpoint(spec) ? spec.checkpoint_grace_s + kSaveMargin : 0, why);
 }
 
-void GangKeeper::MachineTaken(MachineIndex mi, TaskAttempt* slot, double seconds_left) {
+void GangSupervisor::HandlePreemptionNotice(MachineIndex mi, TaskAttempt* slot,
+                                            double seconds_left) {
   const JobIndex j = slot->job;
   const Job& job = (*job_store_)[j];
-  const Attempt attempt = Look(j);
+  const Attempt attempt = ObserveAttempt(j);
   if (!job.gang_started) {
     // It is replaced while the others gather.
     fleet_->RequestStop(mi, slot, 0);
@@ -136,12 +137,12 @@
   }
   const double sure = seconds_left * kSurePartOfNotice;
   const double ran = attempt.running_since < 0 ? 0 : clock_->Now() - attempt.running_since;
-  if (ranking_->TaskSeconds(job) - ran < sure) return;
-  const bool saves = Saves(job.spec) && job.spec.checkpoint_grace_s + kSaveMargin < sure;
+  if (ranking_->ExpectedTaskSeconds(job) - ran < sure) return;
+  const bool saves = CanCheckpoint(job.spec) && job.spec.checkpoint_grace_s + kSaveMargin < sure;
   // Without time to save the progress since the last checkpoint is lost either way: the
   // next attempt rather starts now.
-  Stop(j, saves ? job.spec.checkpoint_grace_s + kSaveMargin : 0,
-       "the cloud takes one of its machines");
+  StopAttempts(j, saves ? job.spec.checkpoint_grace_s + kSaveMargin : 0,
+               "the cloud takes one of its machines");
 }
 
 }  // namespace deckhall
--- a/src/leader/gang_keeper.h
+++ b/src/leader/gang_supervisor.h
@@ -12,40 +12,40 @@
 
 namespace deckhall {
 
-class GangKeeper {
+class GangSupervisor {
  public:
-  GangKeeper(JobStore* job_store, Fleet* fleet, const Ranking* ranking, const Clock* clock,
-             const Settings* settings);
+  GangSupervisor(JobStore* job_store, Fleet* fleet, const Ranking* ranking, const Clock* clock,
+                 const Settings* settings);
 
   // A task of the gang ended there.
-  void TaskEnded(const TaskAttempt& slot);
+  void HandleTaskExit(const TaskAttempt& slot);
   // Looks at all gangs that are on machines.
-  void Tick();
+  void CheckGangs();
   // Stops all of the gang, with time to save if all of its tasks can.
-  void StopWhole(JobIndex j, const char* why);
+  void StopGang(JobIndex j, const char* why);
   // The cloud takes a machine away that holds this task of a gang.
-  void MachineTaken(MachineIndex mi, TaskAttempt* slot, double seconds_left);
+  void HandlePreemptionNotice(MachineIndex mi, TaskAttempt* slot, double seconds_left);
 
  private:
   // What is known of the present attempt.
   struct Attempt {
     uint64_t number = 0;
-    bool started = false;  // its tasks run, or did
-    bool saving = false;   // some of its tasks were told to stop and save
+    bool started = false;        // its tasks run, or did
+    bool checkpointing = false;  // some of its tasks were told to stop and save
     double running_since = -1;
   };
 
   using Visit = std::function<void(MachineIndex, TaskAttempt*)>;
   // Calls `visit` for each attempt of the job that takes room on a machine.
-  void ForEach(JobIndex j, const Visit& visit);
-  Attempt Look(JobIndex j);
-  void Check(JobIndex j);
+  void ForEachAttempt(JobIndex j, const Visit& visit);
+  Attempt ObserveAttempt(JobIndex j);
+  void CheckGang(JobIndex j);
   // Whether all of it can save before its tasks notice that others are gone.
-  bool Saves(const JobSpec& spec) const;
+  bool CanCheckpoint(const JobSpec& spec) const;
   // A lost task is not replaced any more.
-  bool TooLateToComplete(const Job& job) const;
+  bool IsTooLateToComplete(const Job& job) const;
   // Stops all of it that is still wanted.
-  void Stop(JobIndex j, double grace_s, const char* why);
+  void StopAttempts(JobIndex j, double grace_s, const char* why);
 
   JobStore* job_store_;
   Fleet* fleet_;
--- a/src/leader/leader.cc
+++ b/src/leader/leader.cc
@@ -41,10 +41,10 @@
   return o;
 }
 
-RentalOptions ProvisionerOptionsFrom(const Settings& s) {
-  RentalOptions o;
+ProvisionerOptions ProvisionerOptionsFrom(const Settings& s) {
+  ProvisionerOptions o;
   o.list_lag_s = s.cloud_lag_s;
-  o.list_every_s = std::clamp(4 / s.cloud_rps, 2.0, 10.0);
+  o.list_interval_s = std::clamp(4 / s.cloud_rps, 2.0, 10.0);
   return o;
 }
 
@@ -132,8 +132,8 @@
 
 void Leader::HandleLoadedRecords(const std::vector<std::pair<RecordId, std::string>>& rows) {
   for (const auto& [id, text] : rows) {
-    if (provisioner_.LoadRow(id, text) || hints_.LoadRecord(id, text) ||
-        drainer_.LoadRow(id, text)) {
+    if (provisioner_.LoadRecord(id, text) || hints_.LoadRecord(id, text) ||
+        drainer_.LoadRecord(id, text)) {
       continue;
     }
     if (!job_store_.LoadRecord(id, text)) spdlog::error("a stored row is not understood: {}", text);
@@ -147,7 +147,7 @@
     Job& job = job_store_[j];
     job.remaining_core_seconds = job.stored_remaining_core_seconds >= 0
                                      ? job.stored_remaining_core_seconds
-                                     : ranking_.WorkLeft(job);
+                                     : ranking_.RemainingCoreSeconds(job);
   }
   for (MachineIndex m : fleet_.active()) fleet_.MarkChanged(m);
   loaded_ = release_unreconciled_ = true;
@@ -165,8 +165,8 @@
   policy_confirmed_ = confirmed;
   // Drains go on from their rows, and replicas are counted from what is stored.
   if (!loaded_) return;
-  ledger_.Use(policy_, confirmed);
-  drainer_.Use(policy_, confirmed);
+  ledger_.ApplyPolicy(policy_, confirmed);
+  drainer_.ApplyPolicy(policy_, confirmed);
 }
 
 double Leader::HeartbeatGraceEnd() const {
@@ -316,10 +316,10 @@
     }
     j = job_store_.Create(ask.job, ports_.clock->Wall());
     Job& job = job_store_[j];
-    job.remaining_core_seconds = ranking_.WorkLeft(job);
+    job.remaining_core_seconds = ranking_.RemainingCoreSeconds(job);
     job.waiting_since = job.starved_since = ports_.clock->Now();
-    if (job.spec.service) free_capacity_.ServiceArrived(job);
-    ranking_.JobsChanged();
+    if (job.spec.service) free_capacity_.RecordServiceArrival(job);
+    ranking_.Invalidate();
   }
   pending_responses_.push_back(
       {j, JobOperation::kSubmit, std::move(done), 201, ports_.clock->Now()});
@@ -341,7 +341,7 @@
     // Its work is of no use from the moment its user asks.
     job_store_.EndJob(j, JobLifecycle::kCancelled, ports_.clock->Now());
     fleet_.RequestStopOfJob(j);
-    ranking_.JobsChanged();
+    ranking_.Invalidate();
     fleet_.placement_needed = true;
   } else {
     // It has just ended: its user waits for that to be durable.
@@ -450,7 +450,7 @@
     placement_not_before_ =
         now + std::min(kMaxPlacementGapSeconds,
                        kPlacementGapSeconds + kPlacementGapPerMachineSeconds * machines);
-    placer_.Pass();
+    placer_.PlaceWaitingTasks();
   }
   MachineIndex changed = 0;
   while (command_budget_.Level(now) >= 1 && fleet_.PopChanged(&changed)) PushCommands(changed);
--- a/src/leader/leader.h
+++ b/src/leader/leader.h
@@ -7,13 +7,13 @@
 #include <string>
 #include <vector>
 
-#include "cloud/cloud_port.h"
-#include "drain/drainer.h"
+#include "cloud/cloud_provider.h"
+#include "drain/eviction_controller.h"
 #include "fleet/cache_hints.h"
 #include "fleet/worker_client.h"
-#include "leader/gang_keeper.h"
+#include "leader/autoscaler.h"
+#include "leader/gang_supervisor.h"
 #include "leader/placer.h"
-#include "leader/planner.h"
 #include "net/token_bucket.h"
 
 namespace deckhall {
@@ -28,7 +28,7 @@
 
 struct LeaderPorts {
   KeyValueStore* key_value_store = nullptr;
-  CloudPort* cloud = nullptr;
+  CloudProvider* cloud = nullptr;
   WorkerClient* workers = nullptr;
   const Clock* clock = nullptr;
   const LeadershipLease* lease = nullptr;
@@ -64,13 +64,13 @@
 
   JobStore& job_store() { return job_store_; }
   Fleet& fleet() { return fleet_; }
-  const Drainer& drainer() const { return drainer_; }
+  const EvictionController& drainer() const { return drainer_; }
   const DisruptionLedger& ledger() const { return ledger_; }
   // For how long most machines have answered nothing, though their reports come by
   // other nodes: the fault is then on this node's way to them. 0: they do.
   double UnreachableSeconds() const;
   // Machines and nodes looked at so far, to bound the work as the fleet grows.
-  uint64_t work_units() const { return free_capacity_.steps + examined_; }
+  uint64_t work_units() const { return free_capacity_.work_units + examined_; }
   // Reports and answers that did not fit what is known.
   uint64_t implausible_heartbeats() const { return implausible_heartbeats_; }
 
@@ -132,15 +132,15 @@
   RecordStore record_store_;
   JobStore job_store_;
   Fleet fleet_;
-  Rentals provisioner_;
+  Provisioner provisioner_;
   CacheHints hints_;
   FreeCapacity free_capacity_;
   Ranking ranking_;
-  GangKeeper gang_supervisor_;
+  GangSupervisor gang_supervisor_;
   DisruptionLedger ledger_;
-  Drainer drainer_;
+  EvictionController drainer_;
   Placer placer_;
-  Planner autoscaler_;
+  Autoscaler autoscaler_;
   TokenBucket command_budget_;  // commands sent straight to workers
   TokenBucket probe_budget_;
   std::shared_ptr<const DisruptionPolicy> policy_;
--- a/src/leader/leader_cuts.cc
+++ b/src/leader/leader_cuts.cc
@@ -114,7 +114,7 @@
                    name, heard, known);
     }
   }
-  free_capacity_.SetCut(partitioned_zones_);
+  free_capacity_.SetPartitionedZones(partitioned_zones_);
   for (MachineIndex mi : fleet_.active()) {
     Machine& m = fleet_[mi];
     const bool cut =
--- a/src/leader/leader_machines.cc
+++ b/src/leader/leader_machines.cc
@@ -86,7 +86,7 @@
   MachineIndex mi = fleet_.Find(r.machine);
   if (mi == kNoIndex) {
     if (!trusted) return reply;
-    mi = provisioner_.Unexpected(r);
+    mi = provisioner_.AddUnexpectedMachine(r);
   }
   // A late copy from a machine that is gone.
   if (fleet_[mi].removed) return reply;
@@ -142,15 +142,15 @@
   const double now = ports_.clock->Now();
   if (slot.job == kNoIndex) return;
   Job& job = job_store_[slot.job];
-  gang_supervisor_.TaskEnded(slot);
+  gang_supervisor_.HandleTaskExit(slot);
   switch (slot.exit_reason) {
     case ExitReason::kDone:
       m.task_failures = 0;
       m.quarantine_count = 0;
       job.consecutive_failures = 0;
       job.failed_machines.clear();
-      if (slot.running_since >= 0) ranking_.Observed(job, now - slot.running_since);
-      if (job.lifecycle != JobLifecycle::kActive) ranking_.JobsChanged();
+      if (slot.running_since >= 0) ranking_.RecordRuntime(job, now - slot.running_since);
+      if (job.lifecycle != JobLifecycle::kActive) ranking_.Invalidate();
       break;
     case ExitReason::kNoRoom:
       m.no_room_until = now + 2;
@@ -219,7 +219,7 @@
       Job& job = job_store_[j];
       if (!job.has_spec || job.tasks_unreconciled == 0) continue;
       const bool possible = std::any_of(kinds.begin(), kinds.end(), [this, &job](MachineIndex k) {
-        return FreeCapacity::MayBeOn(job, fleet_[k]);
+        return FreeCapacity::MayRunOn(job, fleet_[k]);
       });
       if (possible) continue;
       for (uint32_t t = 0; t < job.tasks.size(); ++t) job_store_.ReleaseUnreconciledTask(j, t);
@@ -330,7 +330,7 @@
                                job_store_.zones[m.zone] == ports_.former_leader_zone;
   if (m.partitioned && (!waited_for || answered_inside || m.unrenewed_since_wall >= 0)) {
     if (silent > settings_->lease_s * kPartitionLeases && !waited_for) {
-      provisioner_.Return(mi, "silent behind a cut");
+      provisioner_.ScaleIn(mi, "silent behind a cut");
     }
     return;
   }
@@ -348,7 +348,7 @@
     limit = std::max(limit, tuning_->partition_death_s);
   if (silent > limit && m.probe_failures >= 2) {
     // Returning it ends whatever it still holds: sooner than its lease would.
-    provisioner_.Return(mi, "silent");
+    provisioner_.ScaleIn(mi, "silent");
     last_death_at_ = now;
     return;
   }
@@ -358,7 +358,7 @@
                      : tuning_->one_way_death_s;
   if (m.unreachable_since >= 0 && m.unreachable_count >= 3 && now - m.unreachable_since > limit &&
       m.last_heard_at > m.unreachable_since && one_way_machines_ <= max_one_way_machines_) {
-    provisioner_.Return(mi, "deaf: it reports, but nothing reaches it");
+    provisioner_.ScaleIn(mi, "deaf: it reports, but nothing reaches it");
   }
 }
 
@@ -448,7 +448,7 @@
     CheckMachine(mi);
     if (fleet_[mi].preemption_at >= 0) HandlePreemptionNotice(mi);
   }
-  gang_supervisor_.Tick();
+  gang_supervisor_.CheckGangs();
   drainer_.Tick();
   ResetProvenServices();
   CollectEndedJobs();
@@ -475,7 +475,7 @@
     if (s.released || !s.wanted || s.job == kNoIndex) continue;
     const Job& job = job_store_[s.job];
     if (job.spec.gang) {
-      gang_supervisor_.MachineTaken(mi, &s, left);
+      gang_supervisor_.HandlePreemptionNotice(mi, &s, left);
       continue;
     }
     if (job.spec.checkpoint_interval_s > 0) {
@@ -484,7 +484,8 @@
       continue;
     }
     const double ran = s.running_since < 0 ? 0 : ports_.clock->Now() - s.running_since;
-    if (job.spec.service || ranking_.TaskSeconds(job) - ran > left) fleet_.RequestStop(mi, &s, 0);
+    if (job.spec.service || ranking_.ExpectedTaskSeconds(job) - ran > left)
+      fleet_.RequestStop(mi, &s, 0);
   }
 }
 
--- a/src/leader/placer.cc
+++ b/src/leader/placer.cc
@@ -13,13 +13,13 @@
 }  // namespace
 
 Placer::Placer(JobStore* job_store, Fleet* fleet, FreeCapacity* free_capacity, Ranking* ranking,
-               Rentals* rentals, const DisruptionLedger* ledger, const Clock* clock,
+               Provisioner* provisioner, const DisruptionLedger* ledger, const Clock* clock,
                const Tuning* tuning)
     : job_store_(job_store),
       fleet_(fleet),
       free_capacity_(free_capacity),
       ranking_(ranking),
-      rentals_(rentals),
+      provisioner_(provisioner),
       clock_(clock),
       tuning_(tuning),
       preemption_(job_store, fleet, free_capacity, ledger, clock),
@@ -27,11 +27,13 @@
 
 // The paper's delay scheduling: while jobs compete, one that would first have to
 // fetch its image lets the room pass, for as long as the fetch would take.
-double Placer::Patience(const Job& job) const { return tuning_->delay_fetches * FetchSeconds(job); }
+double Placer::FetchPatienceSeconds(const Job& job) const {
+  return tuning_->delay_fetches * FetchSeconds(job);
+}
 
 double Placer::FetchSeconds(const Job& job) const {
   double rate = 0;
-  for (const MachineType& t : rentals_->types()) {
+  for (const MachineType& t : provisioner_->types()) {
     rate = rate == 0 ? t.fetch_gb_per_s : std::min(rate, t.fetch_gb_per_s);
   }
   return rate > 0 ? job.spec.image_gb / rate : 0;
@@ -40,73 +42,76 @@
 // Ordinary room that replicas may need soon is not given to arrays. But none waits for
 // ever beside it: where nothing more can be rented, what found no place for so long gets
 // it, and gives way when a replica comes.
-double Placer::Reserve(const Job& job) const {
+double Placer::HeadroomReserve(const Job& job) const {
   const bool starved = clock_->Now() - job.starved_since > tuning_->starvation_s / 2;
   if (job.spec.service || starved) return 0;
   return free_capacity_->headroom() * tuning_->headroom_reserved_share;
 }
 
-void Placer::Put(JobIndex j, uint32_t node, uint64_t attempt) {
+void Placer::PlaceOn(JobIndex j, uint32_t node, uint64_t attempt) {
   Job& job = (*job_store_)[j];
-  const bool passed = !job.spec.service && ranking_->PassedOver(job, clock_->Now());
+  const bool passed = !job.spec.service && ranking_->IsStarved(job, clock_->Now());
   fleet_->PlaceTask(node, j, job.waiting_tasks.back(), attempt, passed);
-  free_capacity_->Take(job, node);
+  free_capacity_->Allocate(job, node);
   (*fleet_)[node].idle_since = -1;
 }
 
-bool Placer::FailedBefore(const Need& need) const {
-  return std::any_of(failed_needs_.begin(), failed_needs_.end(), [&need](const FailedNeed& v) {
-    return need.cores + kEps >= v.cores && need.memory_gb + kEps >= v.memory_gb &&
-           need.gpus + kEps >= v.gpus && (v.zone == UINT32_MAX || v.zone == need.zone) &&
-           (v.spot_ok || !need.spot_ok) &&
-           (v.types == nullptr || (need.types != nullptr && *need.types == *v.types));
-  });
+bool Placer::FailedBefore(const ResourceRequest& need) const {
+  return std::any_of(
+      failed_requests_.begin(), failed_requests_.end(), [&need](const FailedRequest& v) {
+        return need.cores + kEps >= v.cores && need.memory_gb + kEps >= v.memory_gb &&
+               need.gpus + kEps >= v.gpus &&
+               (v.zone == UINT32_MAX || v.zone == need.required_zone) &&
+               (v.spot_tolerant || !need.spot_tolerant) &&
+               (v.allowed_types == nullptr ||
+                (need.allowed_types != nullptr && *need.allowed_types == *v.allowed_types));
+      });
 }
 
-void Placer::PlaceSome(JobIndex j, bool here, size_t most) {
+void Placer::PlaceTasks(JobIndex j, bool here, size_t most) {
   Job& job = (*job_store_)[j];
   const double now = clock_->Now();
   if (!job.acknowledged || job.waiting_tasks.empty() || now < job.backoff_until) return;
-  if (!free_capacity_->TeamRoom(job)) return;
+  if (!free_capacity_->HasTeamQuota(job)) return;
   std::vector<char> zones;
   // Where its tasks are, those on their way out included.
   std::vector<uint32_t> on;
   if (job.spec.service || job.spec.single_zone || job.spec.anti_affinity) on = job.machines;
-  if (!free_capacity_->ZoneRoom(job, on, &zones)) return;
-  Need need = free_capacity_->NeedOf(job, zones, on);
-  need.siblings = &on;
-  need.cached_only =
-      contended_ && !job.spec.service && !job.guaranteed && now - job.waiting_since < Patience(job);
-  need.here_only = here;
+  if (!free_capacity_->AllowedZones(job, on, &zones)) return;
+  ResourceRequest need = free_capacity_->RequestFor(job, zones, on);
+  need.sibling_machines = &on;
+  need.cached_or_fetching_only = contended_ && !job.spec.service && !job.guaranteed &&
+                                 now - job.waiting_since < FetchPatienceSeconds(job);
+  need.cached_only = here;
   if (FailedBefore(need)) return;
   // A job that keeps failing shows its worth with one task at a time. Replicas that run
   // have shown it: they never complete, and the missing ones would wait for ever.
   const uint32_t unproven =
       job.spec.service ? job.tasks_placed - job.tasks_running : job.tasks_placed;
   if (job.consecutive_failures >= 3) most = std::min<size_t>(most, unproven > 0 ? 0 : 1);
-  const double reserve = Reserve(job);
+  const double reserve = HeadroomReserve(job);
   auto ordinary = [&] {
     return job.spec.service || free_capacity_->free_ordinary() - reserve + kEps >= job.spec.cores;
   };
   if (!ordinary() &&
       (!job.spec.spot_tolerant || free_capacity_->free_spot() + kEps < job.spec.cores))
     return;
-  Picker picker(&need, &free_capacity_->nodes(), open_);
-  free_capacity_->steps += open_.size();
+  BestFitQueue picker(&need, &free_capacity_->capacities(), open_machines_);
+  free_capacity_->work_units += open_machines_.size();
   size_t placed = 0;
-  while (!job.waiting_tasks.empty() && placed < most && free_capacity_->TeamRoom(job)) {
-    if (placed > 0 && !free_capacity_->ZoneRoom(job, on, &zones)) break;
-    const int at = picker.Next(ordinary());
+  while (!job.waiting_tasks.empty() && placed < most && free_capacity_->HasTeamQuota(job)) {
+    if (placed > 0 && !free_capacity_->AllowedZones(job, on, &zones)) break;
+    const int at = picker.PopBest(ordinary());
     if (at < 0) {
-      if (placed == 0 && job.spec.service && !here && need.zones == nullptr) {
-        failed_needs_.push_back(
-            {need.cores, need.memory_gb, need.gpus, need.zone, need.spot_ok, need.types});
+      if (placed == 0 && job.spec.service && !here && need.allowed_zones == nullptr) {
+        failed_requests_.push_back({need.cores, need.memory_gb, need.gpus, need.required_zone,
+                                    need.spot_tolerant, need.allowed_types});
       }
       break;
     }
     on.push_back(static_cast<uint32_t>(at));
-    Put(j, static_cast<uint32_t>(at), fleet_->NewAttemptNumber());
-    picker.Again(at);
+    PlaceOn(j, static_cast<uint32_t>(at), fleet_->NewAttemptNumber());
+    picker.Reinsert(at);
     ++placed;
   }
 }
@@ -115,10 +120,10 @@
 // arrays. The rest goes where the image must be fetched.
 void Placer::PlaceService(JobIndex j) {
   const Job& job = (*job_store_)[j];
-  PlaceSome(j, true, SIZE_MAX);
+  PlaceTasks(j, true, SIZE_MAX);
   if (job.waiting_tasks.empty()) return;
   size_t coming = 0;
-  Preemption::Request request;
+  Preemptor::RoomRequest request;
   request.job = j;
   if (FetchSeconds(job) > tuning_->long_fetch_s) {
     // When many are lost at once, the next pass is far sooner than any fetch.
@@ -126,18 +131,18 @@
       fleet_->placement_needed = true;
       return;
     }
-    request.most = job.waiting_tasks.size();
-    request.image_here = true;
+    request.max_places = job.waiting_tasks.size();
+    request.cached_image_only = true;
     // To spare it the fetch, no more work is lost than the fetch would hold up.
-    request.most_loss = tuning_->preempt_for_image * FetchSeconds(job) * job.spec.cores;
+    request.max_loss_per_place = tuning_->preempt_for_image * FetchSeconds(job) * job.spec.cores;
     coming = preemption_.MakeRoom(request);
   }
   if (coming >= job.waiting_tasks.size()) return;
-  PlaceSome(j, false, job.waiting_tasks.size() - coming);
+  PlaceTasks(j, false, job.waiting_tasks.size() - coming);
   if (job.waiting_tasks.size() <= coming) return;
-  Preemption::Request anywhere;
+  Preemptor::RoomRequest anywhere;
   anywhere.job = j;
-  anywhere.most = job.waiting_tasks.size() - coming;
+  anywhere.max_places = job.waiting_tasks.size() - coming;
   preemption_.MakeRoom(anywhere);
 }
 
@@ -146,20 +151,20 @@
   const Job& job = (*job_store_)[j];
   if (job.waiting_tasks.empty() || !job.guaranteed) return;
   if (clock_->Now() - job.waiting_since < tuning_->preempt_after_s) return;
-  Preemption::Request request;
+  Preemptor::RoomRequest request;
   request.job = j;
-  request.most = job.waiting_tasks.size();
+  request.max_places = job.waiting_tasks.size();
   // Room that arrays may not take is not made for them.
-  request.ordinary = free_capacity_->free_ordinary() + kEps >= Reserve(job);
+  request.allow_ordinary_machines = free_capacity_->free_ordinary() + kEps >= HeadroomReserve(job);
   preemption_.MakeRoom(request);
 }
 
-void Placer::Pass() {
+void Placer::PlaceWaitingTasks() {
   const double now = clock_->Now();
   free_capacity_->Refresh();
   on_refreshed();
   ranking_->Refresh();
-  failed_needs_.clear();
+  failed_requests_.clear();
   gangs_.BeginPass();
   // Missing replicas first, the most important services before others.
   std::vector<JobIndex> services;
@@ -176,8 +181,8 @@
     }
   }
   if (least >= 1e9) return;
-  open_ = free_capacity_->Open(least);
-  free_capacity_->steps += open_.size();
+  open_machines_ = free_capacity_->MachinesWithRoom(least);
+  free_capacity_->work_units += open_machines_.size();
   std::stable_sort(services.begin(), services.end(), [this](JobIndex a, JobIndex b) {
     return (*job_store_)[a].spec.priority > (*job_store_)[b].spec.priority;
   });
@@ -190,13 +195,13 @@
     const Job& job = (*job_store_)[j];
     if (job.lifecycle != JobLifecycle::kActive || job.waiting_tasks.empty()) continue;
     if (job.spec.gang) {
-      gangs_.Place(j, open_);
+      gangs_.Place(j, open_machines_);
       continue;
     }
     // Once: with the next task it is again where its rank puts it.
-    const bool passed = ranking_->PassedOver(job, now);
-    PlaceSome(j, false, passed ? 1 : SIZE_MAX);
-    if (passed && !ranking_->PassedOver(job, now)) ranking_->JobsChanged();
+    const bool passed = ranking_->IsStarved(job, now);
+    PlaceTasks(j, false, passed ? 1 : SIZE_MAX);
+    if (passed && !ranking_->IsStarved(job, now)) ranking_->Invalidate();
     PreemptForArray(j);
   }
 }
--- a/src/leader/placer.h
+++ b/src/leader/placer.h
@@ -6,7 +6,7 @@
 
 #include "leader/free_capacity.h"
 #include "leader/gang_placer.h"
-#include "leader/preemption.h"
+#include "leader/preemptor.h"
 #include "leader/ranking.h"
 
 namespace deckhall {
@@ -14,44 +14,44 @@
 class Placer {
  public:
   Placer(JobStore* job_store, Fleet* fleet, FreeCapacity* free_capacity, Ranking* ranking,
-         Rentals* rentals, const DisruptionLedger* ledger, const Clock* clock,
+         Provisioner* provisioner, const DisruptionLedger* ledger, const Clock* clock,
          const Tuning* tuning);
 
   // Gives free room to waiting tasks.
-  void Pass();
+  void PlaceWaitingTasks();
   // Called in each pass with a fresh picture of free room, before anything is placed.
   std::function<void()> on_refreshed = [] {};
 
  private:
   // A need for which this pass found no place: neither will it for a larger one.
-  struct FailedNeed {
+  struct FailedRequest {
     double cores;
     double memory_gb;
     double gpus;
     uint32_t zone;
-    bool spot_ok;
-    const std::vector<char>* types;
+    bool spot_tolerant;
+    const std::vector<char>* allowed_types;
   };
   // Places up to `most` waiting tasks; `here`: only where the image is already.
-  void PlaceSome(JobIndex j, bool here, size_t most);
+  void PlaceTasks(JobIndex j, bool here, size_t most);
   void PlaceService(JobIndex j);
   void PreemptForArray(JobIndex j);
   // Seconds to fetch its image, on the slowest type.
   double FetchSeconds(const Job& job) const;
-  double Patience(const Job& job) const;
-  double Reserve(const Job& job) const;
-  bool FailedBefore(const Need& need) const;
-  void Put(JobIndex j, uint32_t node, uint64_t attempt);
+  double FetchPatienceSeconds(const Job& job) const;
+  double HeadroomReserve(const Job& job) const;
+  bool FailedBefore(const ResourceRequest& need) const;
+  void PlaceOn(JobIndex j, uint32_t node, uint64_t attempt);
   JobStore* job_store_;
   Fleet* fleet_;
   FreeCapacity* free_capacity_;
   Ranking* ranking_;
-  Rentals* rentals_;
+  Provisioner* provisioner_;
   const Clock* clock_;
   const Tuning* tuning_;
-  std::vector<uint32_t> open_;
-  std::vector<FailedNeed> failed_needs_;
-  Preemption preemption_;
+  std::vector<uint32_t> open_machines_;
+  std::vector<FailedRequest> failed_requests_;
+  Preemptor preemption_;
   GangPlacer gangs_;
   bool contended_ = false;  // more tasks wait than there is room
 };
--- a/src/leader/preemption.cc
+++ b/src/leader/preemptor.cc
@@ -1,4 +1,4 @@
-#include "leader/preemption.h"
+#include "leader/preemptor.h"
 
 #include <spdlog/spdlog.h>
 
@@ -16,7 +16,7 @@
 // A task that saves within this time is given it.
 constexpr double kShortSave = 5;
 
-void Subtract(Node* node, double cores, double gpus, double memory_gb) {
+void Subtract(MachineCapacity* node, double cores, double gpus, double memory_gb) {
   node->cores -= cores;
   node->gpus -= gpus;
   node->memory_gb -= memory_gb;
@@ -24,23 +24,23 @@
 
 }  // namespace
 
-void Preemption::BeginServices() {
-  claims_.clear();
-  asked_ = 0;
+void Preemptor::BeginServices() {
+  claimed_.clear();
+  jobs_considered_ = 0;
 }
 
-void Preemption::BeginArrays() { asked_ = kMostJobs - kMostArrays; }
+void Preemptor::BeginArrays() { jobs_considered_ = kMostJobs - kMostArrays; }
 
-bool Preemption::Exhausted() const { return asked_ >= kMostJobs; }
+bool Preemptor::Exhausted() const { return jobs_considered_ >= kMostJobs; }
 
-bool Preemption::MayAsk(const Job& job) {
-  if (!job.acknowledged || job.waiting_tasks.empty() || !free_capacity_->TeamRoom(job))
+bool Preemptor::MayPreempt(const Job& job) {
+  if (!job.acknowledged || job.waiting_tasks.empty() || !free_capacity_->HasTeamQuota(job))
     return false;
   if (clock_->Now() < job.backoff_until || job.consecutive_failures >= 3) return false;
-  return ++asked_ <= kMostJobs;
+  return ++jobs_considered_ <= kMostJobs;
 }
 
-bool Preemption::MayStop(const Job& job, const TaskAttempt& slot) const {
+bool Preemptor::MayStop(const Job& job, const TaskAttempt& slot) const {
   if (slot.released || !slot.wanted || slot.job == kNoIndex || slot.service) return false;
   const Job& other = (*job_store_)[slot.job];
   if (other.spec.gang) return false;
@@ -51,15 +51,15 @@
   const bool lower = other.spec.priority < job.spec.priority;
   const bool beyond = job.guaranteed && !other.guaranteed && other.team != job.team &&
                       theirs != nullptr &&
-                      free_capacity_->UseOf(other.team).cores > theirs->cores + kEps;
+                      free_capacity_->UsageOf(other.team).cores > theirs->cores + kEps;
   if (!lower && !beyond) return false;
   // What is ranked before it would take the freed room again: stopped and placed
   // anew without end.
   return job.spec.service || other.rank >= job.rank;
 }
 
-double Preemption::Loss(const Job& job, const Machine& m, Node* node,
-                        std::vector<size_t>* chosen) const {
+double Preemptor::PreemptionLoss(const Job& job, const Machine& m, MachineCapacity* node,
+                                 std::vector<size_t>* chosen) const {
   const double now = clock_->Now();
   std::vector<std::pair<double, size_t>> victims;
   for (size_t i = 0; i < m.attempts.size(); ++i) {
@@ -75,7 +75,7 @@
     victims.emplace_back(s.cores * lost, i);
   }
   std::sort(victims.begin(), victims.end());
-  Need need;
+  ResourceRequest need;
   need.cores = job.spec.cores;
   need.gpus = job.spec.gpus;
   need.memory_gb = job.spec.memory_gb;
@@ -90,35 +90,35 @@
   return Fits(need, *node) ? loss : -1;
 }
 
-Node Preemption::RoomToCome(MachineIndex mi) const {
-  const Node& room = free_capacity_->nodes()[mi];
-  Node node;
+MachineCapacity Preemptor::FutureCapacity(MachineIndex mi) const {
+  const MachineCapacity& room = free_capacity_->capacities()[mi];
+  MachineCapacity node;
   node.cores = room.cores;
   node.gpus = room.gpus;
   node.memory_gb = room.memory_gb;
   for (const TaskAttempt& s : (*fleet_)[mi].attempts) {
     if (!s.released && !s.wanted) Subtract(&node, -s.cores, -s.gpus, -s.memory_gb);
   }
-  auto claim = claims_.find(mi);
-  if (claim != claims_.end()) {
+  auto claim = claimed_.find(mi);
+  if (claim != claimed_.end()) {
     Subtract(&node, claim->second.cores, claim->second.gpus, claim->second.memory_gb);
   }
   return node;
 }
 
-bool Preemption::HasImage(const Job& job, const Machine& m) const {
+bool Preemptor::HasImage(const Job& job, const Machine& m) const {
   return std::find(m.cached_images.begin(), m.cached_images.end(), job.image) !=
          m.cached_images.end();
 }
 
-void Preemption::Claim(MachineIndex mi, const Need& need) {
-  Amounts& claim = claims_[mi];
+void Preemptor::Claim(MachineIndex mi, const ResourceRequest& need) {
+  Resources& claim = claimed_[mi];
   claim.cores += need.cores;
   claim.gpus += need.gpus;
   claim.memory_gb += need.memory_gb;
 }
 
-bool Preemption::WithinBudgets(const Job& job, const std::vector<Choice>& choices) const {
+bool Preemptor::WithinBudgets(const Job& job, const std::vector<Choice>& choices) const {
   if (job.guaranteed || !ledger_->active()) return true;
   std::vector<JobIndex> tasks;
   for (const Choice& choice : choices) {
@@ -126,10 +126,10 @@
       tasks.push_back((*fleet_)[choice.machine].attempts[i].job);
     }
   }
-  return !ledger_->AllowsStops(tasks);
+  return !ledger_->BlockedFromStopping(tasks);
 }
 
-void Preemption::Stop(const Job& job, const Choice& choice) {
+void Preemptor::Stop(const Job& job, const Choice& choice) {
   Machine& machine = (*fleet_)[choice.machine];
   for (size_t i : choice.attempts) {
     TaskAttempt& s = machine.attempts[i];
@@ -142,28 +142,29 @@
   }
 }
 
-size_t Preemption::MakeRoom(const Request& request) {
+size_t Preemptor::MakeRoom(const RoomRequest& request) {
   const Job& job = (*job_store_)[request.job];
-  if (!MayAsk(job)) return 0;
+  if (!MayPreempt(job)) return 0;
   std::vector<char> zones;
-  if (!free_capacity_->ZoneRoom(job, job.machines, &zones)) return 0;
-  const Need need = free_capacity_->NeedOf(job, zones, job.machines);
-  auto wanted = std::min({job.waiting_tasks.size(), kMostPlaces, request.most});
-  wanted = std::min(wanted, static_cast<size_t>(std::max(0.0, free_capacity_->TeamLeft(job.team) /
-                                                                  std::max(job.spec.cores, 1e-3))));
+  if (!free_capacity_->AllowedZones(job, job.machines, &zones)) return 0;
+  const ResourceRequest need = free_capacity_->RequestFor(job, zones, job.machines);
+  auto wanted = std::min({job.waiting_tasks.size(), kMostPlaces, request.max_places});
+  wanted =
+      std::min(wanted, static_cast<size_t>(std::max(0.0, free_capacity_->TeamQuotaLeft(job.team) /
+                                                             std::max(job.spec.cores, 1e-3))));
   const size_t all = wanted;
   std::vector<Choice> choices;
   for (MachineIndex mi : fleet_->active()) {
     if (wanted == 0) return all;
     const Machine& m = (*fleet_)[mi];
-    const Node& room = free_capacity_->nodes()[mi];
-    if (!room.usable || !Allows(need, room.type, room.zone, room.spot)) continue;
-    if (!request.ordinary && !room.spot) continue;
-    ++free_capacity_->steps;
-    if (request.image_here && !HasImage(job, m)) continue;
+    const MachineCapacity& room = free_capacity_->capacities()[mi];
+    if (!room.usable || !SatisfiesConstraints(need, room.type, room.zone, room.spot)) continue;
+    if (!request.allow_ordinary_machines && !room.spot) continue;
+    ++free_capacity_->work_units;
+    if (request.cached_image_only && !HasImage(job, m)) continue;
     if (job.spec.service && m.preemptible_cores + room.cores + kEps < job.spec.cores) continue;
     // Room on its way already is enough, unless it is spoken for.
-    Node node = RoomToCome(mi);
+    MachineCapacity node = FutureCapacity(mi);
     if (Fits(need, node)) {
       Claim(mi, need);
       --wanted;
@@ -171,8 +172,9 @@
     }
     Choice choice;
     choice.machine = mi;
-    choice.loss = Loss(job, m, &node, &choice.attempts);
-    if (choice.loss >= 0 && choice.loss <= request.most_loss) choices.push_back(std::move(choice));
+    choice.loss = PreemptionLoss(job, m, &node, &choice.attempts);
+    if (choice.loss >= 0 && choice.loss <= request.max_loss_per_place)
+      choices.push_back(std::move(choice));
   }
   std::stable_sort(choices.begin(), choices.end(),
                    [](const Choice& a, const Choice& b) { return a.loss < b.loss; });
@@ -186,15 +188,15 @@
   return all - wanted;
 }
 
-void Preemption::AddChoices(const Job& job, const Need& need, MachineIndex mi,
-                            std::vector<Choice>* out) const {
+void Preemptor::AddChoices(const Job& job, const ResourceRequest& need, MachineIndex mi,
+                           std::vector<Choice>* out) const {
   const Machine& m = (*fleet_)[mi];
-  Node node = RoomToCome(mi);
+  MachineCapacity node = FutureCapacity(mi);
   std::vector<size_t> chosen;
   // No machine has to take more than the whole gang.
   for (size_t place = 0; place < job.waiting_tasks.size(); ++place) {
     const size_t before = chosen.size();
-    const double loss = Loss(job, m, &node, &chosen);
+    const double loss = PreemptionLoss(job, m, &node, &chosen);
     if (loss < 0) return;
     Choice choice;
     choice.loss = loss;
@@ -205,28 +207,28 @@
   }
 }
 
-std::vector<MachineIndex> Preemption::MakeGangRoom(
-    const Request& request, const std::vector<std::vector<char>>& zone_sets) {
+std::vector<MachineIndex> Preemptor::MakeGangRoom(const RoomRequest& request,
+                                                  const std::vector<std::vector<char>>& zone_sets) {
   const Job& job = (*job_store_)[request.job];
   const size_t count = job.waiting_tasks.size();
-  if (count > kMostPlaces || !MayAsk(job)) return {};
+  if (count > kMostPlaces || !MayPreempt(job)) return {};
   std::vector<Choice> best;
   double least = 0;
   for (const std::vector<char>& zones : zone_sets) {
-    const Need need = free_capacity_->NeedOf(job, zones, {});
+    const ResourceRequest need = free_capacity_->RequestFor(job, zones, {});
     std::vector<Choice> choices;
     for (MachineIndex mi : fleet_->active()) {
-      const Node& room = free_capacity_->nodes()[mi];
-      if (!room.usable || !Allows(need, room.type, room.zone, room.spot)) continue;
-      ++free_capacity_->steps;
-      if (request.image_here && !HasImage(job, (*fleet_)[mi])) continue;
+      const MachineCapacity& room = free_capacity_->capacities()[mi];
+      if (!room.usable || !SatisfiesConstraints(need, room.type, room.zone, room.spot)) continue;
+      ++free_capacity_->work_units;
+      if (request.cached_image_only && !HasImage(job, (*fleet_)[mi])) continue;
       AddChoices(job, need, mi, &choices);
     }
     if (choices.size() < count) continue;
     std::stable_sort(choices.begin(), choices.end(),
                      [](const Choice& a, const Choice& b) { return a.loss < b.loss; });
     choices.resize(count);
-    if (choices.back().loss > request.most_loss) continue;
+    if (choices.back().loss > request.max_loss_per_place) continue;
     double loss = 0;
     if (!WithinBudgets(job, choices)) continue;
     for (const Choice& choice : choices) loss += choice.loss;
@@ -236,7 +238,7 @@
     }
   }
   std::vector<MachineIndex> machines;
-  const Need need = free_capacity_->NeedOf(job, {}, {});
+  const ResourceRequest need = free_capacity_->RequestFor(job, {}, {});
   for (const Choice& choice : best) {
     Claim(choice.machine, need);
     Stop(job, choice);
--- a/src/leader/preemption.h
+++ b/src/leader/preemptor.h
@@ -11,10 +11,10 @@
 
 namespace deckhall {
 
-class Preemption {
+class Preemptor {
  public:
-  Preemption(JobStore* job_store, Fleet* fleet, FreeCapacity* free_capacity,
-             const DisruptionLedger* ledger, const Clock* clock)
+  Preemptor(JobStore* job_store, Fleet* fleet, FreeCapacity* free_capacity,
+            const DisruptionLedger* ledger, const Clock* clock)
       : job_store_(job_store),
         fleet_(fleet),
         free_capacity_(free_capacity),
@@ -27,19 +27,19 @@
   // This pass has looked for tasks to stop for as many jobs as it may.
   bool Exhausted() const;
 
-  struct Request {
+  struct RoomRequest {
     JobIndex job = kNoIndex;
-    size_t most = 0;          // places wanted at the most
-    bool image_here = false;  // only on machines that hold the job's image
-    double most_loss = 1e18;  // in core-seconds for each place
-    bool ordinary = true;     // on ordinary machines too, not only on spot machines
+    size_t max_places = 0;                // places wanted at the most
+    bool cached_image_only = false;       // only on machines that hold the job's image
+    double max_loss_per_place = 1e18;     // in core-seconds for each place
+    bool allow_ordinary_machines = true;  // on ordinary machines too, not only on spot machines
   };
   // Makes room for single tasks; returns for how many it is on its way.
-  size_t MakeRoom(const Request& request);
+  size_t MakeRoom(const RoomRequest& request);
   // Makes room for the whole gang in one of the sets of zones, or stops nothing; of the
   // request, `most` and `ordinary` do not count. Returns the machines on which the room is,
   // or is on its way.
-  std::vector<MachineIndex> MakeGangRoom(const Request& request,
+  std::vector<MachineIndex> MakeGangRoom(const RoomRequest& request,
                                          const std::vector<std::vector<char>>& zone_sets);
 
  private:
@@ -50,18 +50,19 @@
     std::vector<size_t> attempts;
   };
 
-  bool MayAsk(const Job& job);
+  bool MayPreempt(const Job& job);
   bool MayStop(const Job& job, const TaskAttempt& slot) const;
   // What is free there, with what is being stopped and without what is spoken for.
-  Node RoomToCome(MachineIndex mi) const;
+  MachineCapacity FutureCapacity(MachineIndex mi) const;
   // What stopping tasks for one more place would lose, in core-seconds; the attempts are added
   // to `chosen`. Negative: no room can be made.
-  double Loss(const Job& job, const Machine& m, Node* node, std::vector<size_t>* chosen) const;
+  double PreemptionLoss(const Job& job, const Machine& m, MachineCapacity* node,
+                        std::vector<size_t>* chosen) const;
   // Places for the gang's tasks on one machine, the cheapest first.
   bool HasImage(const Job& job, const Machine& m) const;
-  void AddChoices(const Job& job, const Need& need, MachineIndex mi,
+  void AddChoices(const Job& job, const ResourceRequest& need, MachineIndex mi,
                   std::vector<Choice>* out) const;
-  void Claim(MachineIndex mi, const Need& need);
+  void Claim(MachineIndex mi, const ResourceRequest& need);
   // Whether the budgets allow what has to be stopped for these places. A guarantee is kept
   // whatever the budgets say.
   bool WithinBudgets(const Job& job, const std::vector<Choice>& choices) const;
@@ -72,8 +73,8 @@
   FreeCapacity* free_capacity_;
   const DisruptionLedger* ledger_;
   const Clock* clock_;
-  std::unordered_map<MachineIndex, Amounts> claims_;  // room on its way that is spoken for
-  int asked_ = 0;                                     // jobs this pass looked for tasks to stop for
+  std::unordered_map<MachineIndex, Resources> claimed_;  // room on its way that is spoken for
+  int jobs_considered_ = 0;  // jobs this pass looked for tasks to stop for
 };
 
 }  // namespace deckhall
--- a/src/leader/ranking.cc
+++ b/src/leader/ranking.cc
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void Ranking::Observed(const Job& job, double run_s) {
+void Ranking::RecordRuntime(const Job& job, double run_s) {
   if (job.job_class >= classes_.size()) classes_.resize(job.job_class + 1);
   if (job.spec.estimated_runtime_s <= 0 || run_s <= 0) return;
   ClassStats& c = classes_[job.job_class];
@@ -21,7 +21,7 @@
   c.log_ratio += (x - c.log_ratio) / c.weight;
 }
 
-double Ranking::TaskSeconds(const Job& job) const {
+double Ranking::ExpectedTaskSeconds(const Job& job) const {
   double ratio = 1;
   if (job.job_class < classes_.size()) {
     const ClassStats& c = classes_[job.job_class];
@@ -31,12 +31,12 @@
   return std::max(1.0, job.spec.estimated_runtime_s * ratio);
 }
 
-double Ranking::WorkLeft(const Job& job) const {
+double Ranking::RemainingCoreSeconds(const Job& job) const {
   const auto tasks = static_cast<double>(job.tasks.size() - job.tasks_done);
-  return std::max(tasks * std::max(job.spec.cores, 0.1) * TaskSeconds(job), 1e-3);
+  return std::max(tasks * std::max(job.spec.cores, 0.1) * ExpectedTaskSeconds(job), 1e-3);
 }
 
-void Ranking::Guarantees() {
+void Ranking::ApplyGuarantees() {
   std::vector<JobIndex> order = job_store_->active_jobs();
   std::sort(order.begin(), order.end(), [this](JobIndex a, JobIndex b) {
     const Job& x = (*job_store_)[a];
@@ -61,13 +61,13 @@
 // size, team or priority. Otherwise a stream of jobs ranked better could keep it
 // waiting for ever. Its limit, its zones and who may be stopped for it stay as
 // they are.
-bool Ranking::PassedOver(const Job& job, double now) const {
+bool Ranking::IsStarved(const Job& job, double now) const {
   return !job.waiting_tasks.empty() && now - job.starved_since > tuning_->starvation_s;
 }
 
 void Ranking::Refresh() {
   const double now = clock_->Now();
-  if (now < due_) return;
+  if (now < next_refresh_) return;
   const double weights[] = {tuning_->weight_idle, tuning_->weight_normal, tuning_->weight_urgent,
                             tuning_->weight_production};
   std::vector<JobIndex> arrays;
@@ -81,28 +81,28 @@
       // kept waiting, its estimate was too low: it is measured anew, or it would
       // hold the first rank for good.
       const double est = job.spec.estimated_runtime_s * job.spec.cores;
-      if (TaskSeconds(job) * job.spec.cores > est * 1.2)
-        job.remaining_core_seconds = WorkLeft(job) * 0.5;
+      if (ExpectedTaskSeconds(job) * job.spec.cores > est * 1.2)
+        job.remaining_core_seconds = RemainingCoreSeconds(job) * 0.5;
     }
     FspJob f;
-    f.left = job.remaining_core_seconds;
+    f.remaining = job.remaining_core_seconds;
     const Team* team = free_capacity_->TeamOf(job.team);
     f.weight = (team != nullptr && team->cores > 0 ? team->cores : 1.0) *
                weights[static_cast<int>(job.spec.priority)];
     f.cap = std::max(0.1, static_cast<double>(job.tasks.size() - job.tasks_done) * job.spec.cores);
     run.push_back(f);
   }
-  if (ranked_at_ >= 0) FspAdvance(&run, free_capacity_->capacity(), now - ranked_at_);
-  const auto finish = FspFinish(run, free_capacity_->capacity());
+  if (ranked_at_ >= 0) FspAdvance(&run, free_capacity_->total_cores(), now - ranked_at_);
+  const auto finish = FspFinish(run, free_capacity_->total_cores());
   for (size_t i = 0; i < arrays.size(); ++i) {
-    (*job_store_)[arrays[i]].remaining_core_seconds = run[i].left;
+    (*job_store_)[arrays[i]].remaining_core_seconds = run[i].remaining;
     (*job_store_)[arrays[i]].virtual_finish_time = finish[i];
   }
-  Guarantees();
+  ApplyGuarantees();
   std::sort(arrays.begin(), arrays.end(), [this, now](JobIndex a, JobIndex b) {
     const Job& x = (*job_store_)[a];
     const Job& y = (*job_store_)[b];
-    if (PassedOver(x, now) != PassedOver(y, now)) return PassedOver(x, now);
+    if (IsStarved(x, now) != IsStarved(y, now)) return IsStarved(x, now);
     if (x.guaranteed != y.guaranteed) return x.guaranteed;
     if (x.virtual_finish_time != y.virtual_finish_time)
       return x.virtual_finish_time < y.virtual_finish_time;
@@ -114,7 +114,7 @@
   }
   order_ = std::move(arrays);
   ranked_at_ = now;
-  due_ = now + tuning_->refresh_s;
+  next_refresh_ = now + tuning_->refresh_s;
 }
 
 }  // namespace deckhall
--- a/src/leader/ranking.h
+++ b/src/leader/ranking.h
@@ -15,19 +15,19 @@
       : job_store_(job_store), free_capacity_(free_capacity), clock_(clock), tuning_(tuning) {}
 
   // None of its tasks found a place for so long that it goes first once.
-  bool PassedOver(const Job& job, double now) const;
+  bool IsStarved(const Job& job, double now) const;
   // A job came or went: ranks are refreshed before the next use.
-  void JobsChanged() { due_ = 0; }
+  void Invalidate() { next_refresh_ = 0; }
   // Refreshes the ranks if that is due.
   void Refresh();
   // Arrays, the first to be served first.
   const std::vector<JobIndex>& order() const { return order_; }
   // A task completed after running for so long.
-  void Observed(const Job& job, double run_s);
+  void RecordRuntime(const Job& job, double run_s);
   // Expected run time of one of its tasks.
-  double TaskSeconds(const Job& job) const;
+  double ExpectedTaskSeconds(const Job& job) const;
   // Work left by the present estimate, in core-seconds.
-  double WorkLeft(const Job& job) const;
+  double RemainingCoreSeconds(const Job& job) const;
 
  private:
   struct ClassStats {
@@ -35,13 +35,13 @@
     double weight = 0;
   };
 
-  void Guarantees();
+  void ApplyGuarantees();
 
   JobStore* job_store_;
   const FreeCapacity* free_capacity_;
   const Clock* clock_;
   const Tuning* tuning_;
-  double due_ = 0;
+  double next_refresh_ = 0;
   double ranked_at_ = -1;
   std::vector<JobIndex> order_;
   std::vector<ClassStats> classes_;
--- a/src/model/model.h
+++ b/src/model/model.h
@@ -101,7 +101,7 @@
   double waiting_since = 0;
   double starved_since = 0;  // none of its tasks was placed since; see Ranking
 
-  // Of a gang: its present attempt, see GangKeeper.
+  // Of a gang: its present attempt, see GangSupervisor.
   uint64_t gang_attempt = 0;
   double gang_waiting_since = 0;
   bool gang_started = false;  // a task of the attempt was seen running or saving
--- a/src/sched/fsp.cc
+++ b/src/sched/fsp.cc
@@ -16,7 +16,7 @@
 std::vector<size_t> ByCap(const std::vector<FspJob>& jobs) {
   std::vector<size_t> order;
   for (size_t i = 0; i < jobs.size(); ++i) {
-    if (jobs[i].left > kTiny && jobs[i].cap > 0 && jobs[i].weight > 0) order.push_back(i);
+    if (jobs[i].remaining > kTiny && jobs[i].cap > 0 && jobs[i].weight > 0) order.push_back(i);
   }
   std::sort(order.begin(), order.end(), [&jobs](size_t a, size_t b) {
     const double x = jobs[a].cap * jobs[b].weight;
@@ -48,15 +48,15 @@
   for (size_t i : *order) {
     if ((*share)[i] <= kTiny) continue;
     moves = true;
-    step = std::min(step, (*jobs)[i].left / (*share)[i]);
+    step = std::min(step, (*jobs)[i].remaining / (*share)[i]);
   }
   if (!moves) return -1;
   for (size_t i : *order) {
     FspJob& job = (*jobs)[i];
-    job.left = std::max(0.0, job.left - (*share)[i] * step);
-    if (job.left <= 1e-6) job.left = 0;
+    job.remaining = std::max(0.0, job.remaining - (*share)[i] * step);
+    if (job.remaining <= 1e-6) job.remaining = 0;
   }
-  std::erase_if(*order, [jobs](size_t i) { return (*jobs)[i].left == 0; });
+  std::erase_if(*order, [jobs](size_t i) { return (*jobs)[i].remaining == 0; });
   return step;
 }
 
@@ -89,12 +89,12 @@
                                            : Step(&jobs, &order, capacity,
                                                   std::numeric_limits<double>::infinity(), &share);
     if (step < 0) {
-      for (size_t i : order) finish[i] = now + jobs[i].left / std::max(share[i], 1e-3);
+      for (size_t i : order) finish[i] = now + jobs[i].remaining / std::max(share[i], 1e-3);
       break;
     }
     now += step;
     for (size_t i : open) {
-      if (jobs[i].left == 0) finish[i] = now;
+      if (jobs[i].remaining == 0) finish[i] = now;
     }
   }
   return finish;
--- a/src/sched/fsp.h
+++ b/src/sched/fsp.h
@@ -7,7 +7,7 @@
 namespace deckhall {
 
 struct FspJob {
-  double left = 0;  // core-seconds still to do in the imagined run
+  double remaining = 0;  // core-seconds still to do in the imagined run
   double weight = 1;
   double cap = 0;  // cores its unfinished tasks can use at once
 };
--- a/src/sched/placement.h
+++ b/src/sched/placement.h
@@ -7,7 +7,7 @@
 
 namespace deckhall {
 
-struct Node {
+struct MachineCapacity {
   uint32_t machine = 0;
   uint32_t type = 0;
   uint32_t zone = 0;
@@ -18,57 +18,58 @@
   double memory_gb = 0;
   double total_cores = 0;
   double fetch_gb_per_s = 1;
-  const std::vector<uint32_t>* images = nullptr;  // cached
-  std::vector<uint32_t> coming;                   // being fetched
+  const std::vector<uint32_t>* cached_images = nullptr;  // cached
+  std::vector<uint32_t> fetching_images;                 // being fetched
 };
 
 // Amounts of what a machine has.
-struct Amounts {
+struct Resources {
   double cores = 0;
   double gpus = 0;
   double memory_gb = 0;
 };
 
-struct Need {
+struct ResourceRequest {
   double cores = 0;
   double gpus = 0;
   double memory_gb = 0;
-  const std::vector<char>* types = nullptr;  // by type; null: any
-  uint32_t zone = UINT32_MAX;                // the only allowed one
-  bool spot_ok = false;
+  const std::vector<char>* allowed_types = nullptr;  // by type; null: any
+  uint32_t required_zone = UINT32_MAX;               // the only allowed one
+  bool spot_tolerant = false;
   bool service = false;
-  bool gang = false;         // starts with the last of its images
-  bool patient = false;      // late already: may seed caches
-  bool cached_only = false;  // waits for a machine with its image, or getting it
-  bool here_only = false;    // the image must be there already
+  bool gang = false;                     // starts with the last of its images
+  bool overdue = false;                  // late already: may seed caches
+  bool cached_or_fetching_only = false;  // waits for a machine with its image, or getting it
+  bool cached_only = false;              // the image must be there already
   uint32_t image = UINT32_MAX;
   double image_gb = 0;
-  const std::vector<uint32_t>* avoid = nullptr;     // machines it failed on
-  const std::vector<uint32_t>* siblings = nullptr;  // machines with tasks of the job
-  const std::vector<char>* zones = nullptr;         // by zone: may take one more; null: all
+  const std::vector<uint32_t>* failed_machines = nullptr;   // machines it failed on
+  const std::vector<uint32_t>* sibling_machines = nullptr;  // machines with tasks of the job
+  const std::vector<char>* allowed_zones = nullptr;         // by zone: may take one more; null: all
 };
 
-bool Allows(const Need& need, uint32_t type, uint32_t zone, bool spot);
-bool Fits(const Need& need, const Node& node);
+bool SatisfiesConstraints(const ResourceRequest& need, uint32_t type, uint32_t zone, bool spot);
+bool Fits(const ResourceRequest& need, const MachineCapacity& node);
 
 // Hands out the places for the tasks of one job, the best first. Looks at each
 // open node once; after that a task costs only the logarithm of their number.
-class Picker {
+class BestFitQueue {
  public:
-  Picker(const Need* need, const std::vector<Node>* nodes, const std::vector<uint32_t>& open);
+  BestFitQueue(const ResourceRequest* need, const std::vector<MachineCapacity>* nodes,
+               const std::vector<uint32_t>& open);
 
   // The best node that fits now, or -1. Without `ordinary`, spot machines only.
-  int Next(bool ordinary);
+  int PopBest(bool ordinary);
   // What the node that Next() returned last costs.
   double cost() const { return cost_; }
   // The node got a task and may take another.
-  void Again(int node);
+  void Reinsert(int node);
 
  private:
   void Push(uint32_t node);
 
-  const Need* need_;
-  const std::vector<Node>* nodes_;
+  const ResourceRequest* request_;
+  const std::vector<MachineCapacity>* capacities_;
   std::vector<std::pair<double, uint32_t>> heap_;
   double cost_ = 0;
 };
--- a/src/wire/worker_codec.cc
+++ b/src/wire/worker_codec.cc
@@ -6,15 +6,15 @@
 namespace {
 
 // Both directions use the same words.
-struct StateWord {
+struct DrainStateName {
   TaskState state;
   const char* word;
 };
-constexpr StateWord kStateWords[] = {{TaskState::kFetching, "pulling"},
-                                     {TaskState::kRunning, "running"},
-                                     {TaskState::kCheckpointing, "flushing"},
-                                     {TaskState::kWaitingForGang, "gathering"},
-                                     {TaskState::kExited, "ended"}};
+constexpr DrainStateName kStateWords[] = {{TaskState::kFetching, "pulling"},
+                                          {TaskState::kRunning, "running"},
+                                          {TaskState::kCheckpointing, "flushing"},
+                                          {TaskState::kWaitingForGang, "gathering"},
+                                          {TaskState::kExited, "ended"}};
 struct ExitWord {
   ExitReason reason;
   const char* word;
@@ -36,7 +36,7 @@
                                {CommandOp::kAcknowledgeExit, "clear"}};
 
 bool ReadTaskState(const std::string& word, TaskState* out) {
-  for (const StateWord& known : kStateWords) {
+  for (const DrainStateName& known : kStateWords) {
     if (word != known.word) continue;
     *out = known.state;
     return true;
@@ -53,7 +53,7 @@
 }
 
 const char* WordOf(TaskState state) {
-  for (const StateWord& known : kStateWords) {
+  for (const DrainStateName& known : kStateWords) {
     if (state == known.state) return known.word;
   }
   return "";
--- a/tests/cluster.cc
+++ b/tests/cluster.cc
@@ -183,7 +183,7 @@
   double AvailableWriteTokens() override { return 100; }
 };
 
-struct Cluster::CloudLink : CloudPort {
+struct Cluster::CloudLink : CloudProvider {
   Cluster* c;
   std::weak_ptr<Shell> self;
 
@@ -201,18 +201,18 @@
     });
   }
   using TypeList = std::optional<std::vector<MachineType>>;
-  void Types(std::function<void(bool, std::vector<MachineType>)> done) override {
+  void ListTypes(std::function<void(bool, std::vector<MachineType>)> done) override {
     Ask<TypeList>(
         [c = c]() -> TypeList { return c->cloud_.types; }, std::nullopt,
         [done](const TypeList& t) { done(t.has_value(), t.value_or(std::vector<MachineType>())); });
   }
-  void Rent(const std::string& request, const std::string&, const std::string& zone, bool spot,
-            int count, std::function<void(RentAnswer)> done) override {
-    Ask<RentAnswer>(
+  void ScaleOut(const std::string& request, const std::string&, const std::string& zone, bool spot,
+                int count, std::function<void(ScaleOutResponse)> done) override {
+    Ask<ScaleOutResponse>(
         [c = c, request, zone, spot, count] { return c->RentNow(request, zone, spot, count); },
-        RentAnswer(), [done](const RentAnswer& a) { done(a); });
+        ScaleOutResponse(), [done](const ScaleOutResponse& a) { done(a); });
   }
-  void Return(const std::vector<std::string>& names, std::function<void(bool)> done) override {
+  void ScaleIn(const std::vector<std::string>& names, std::function<void(bool)> done) override {
     Ask<bool>(
         [c = c, names] {
           for (const std::string& name : names) c->Delete(name);
@@ -221,8 +221,8 @@
         false, [done](const bool& ok) { done(ok); });
   }
   using Rows = std::optional<std::vector<CloudInstance>>;
-  void List(const std::string&,
-            std::function<void(bool, std::vector<CloudInstance>, bool)> done) override {
+  void ListInstances(const std::string&,
+                     std::function<void(bool, std::vector<CloudInstance>, bool)> done) override {
     Ask<Rows>(
         [c = c]() -> Rows {
           std::vector<CloudInstance> rows;
@@ -240,9 +240,9 @@
   }
 };
 
-RentAnswer Cluster::RentNow(const std::string& request, const std::string& zone, bool spot,
-                            int count) {
-  RentAnswer a;
+ScaleOutResponse Cluster::RentNow(const std::string& request, const std::string& zone, bool spot,
+                                  int count) {
+  ScaleOutResponse a;
   a.ok = true;
   if (auto known = rented_.find(request); known != rented_.end()) {
     a.machines = known->second;
@@ -250,7 +250,7 @@
   }
   if (rentable == 0) {
     a.ok = false;
-    a.refused = true;
+    a.out_of_capacity = true;
     return a;
   }
   for (; count > 0 && rentable > 0; --count, --rentable) {
@@ -824,7 +824,7 @@
 }
 bool Cluster::Drained(const SimWorker& w) const {
   return policy_ != nullptr &&
-         std::any_of(policy_->drains.begin(), policy_->drains.end(), [&w](const DrainOrder& d) {
+         std::any_of(policy_->drains.begin(), policy_->drains.end(), [&w](const DrainRequest& d) {
            return d.machines.Matches(w.report.machine, w.report.type, w.report.zone,
                                      w.report.endpoint);
          });
--- a/tests/cluster.h
+++ b/tests/cluster.h
@@ -155,7 +155,8 @@
   bool StateRefuses(const std::string& who) const;
   void ExpireLeases();
   void FireWatches();
-  RentAnswer RentNow(const std::string& request, const std::string& zone, bool spot, int count);
+  ScaleOutResponse RentNow(const std::string& request, const std::string& zone, bool spot,
+                           int count);
   void Delete(const std::string& name);
   void WorkerTick(const std::string& name);
   void SendReport(const std::string& name);
