--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -4,8 +4,8 @@
 #include "config/tuning.h"
 #include "fakes.h"
 #include "leader/election.h"
-#include "sched/capacity.h"
 #include "sched/fsp.h"
+#include "sched/scale_out_plan.h"
 
 namespace deckhall {
 namespace {
@@ -14,10 +14,10 @@
 TEST(Fsp, OrdersJobsAsProcessorSharingCompletesThem) {
   std::vector<FspJob> jobs = {{30, 1, 1}};
   FspAdvance(&jobs, 1, 10);
-  EXPECT_NEAR(jobs[0].left, 20, 1e-6);
+  EXPECT_NEAR(jobs[0].remaining, 20, 1e-6);
   jobs.push_back({10, 1, 1});
   FspAdvance(&jobs, 1, 5);
-  EXPECT_NEAR(jobs[0].left, 17.5, 1e-6);
+  EXPECT_NEAR(jobs[0].remaining, 17.5, 1e-6);
   jobs.push_back({10, 1, 1});
   const auto finish = FspFinish(jobs, 1);
   EXPECT_LT(finish[1], finish[2]);
@@ -33,24 +33,24 @@
 }
 
 TEST(Capacity, PacksIntoWhatIsThereBeforeItRents) {
-  Offer ordinary{0, 0, false, 8, 0, 64, 1.0, 30, false, 0};
-  Offer spot{0, 0, true, 8, 0, 64, 0.4, 30, false, 0};
-  Need need;
+  InstanceOffering ordinary{0, 0, false, 8, 0, 64, 1.0, 30, false, 0};
+  InstanceOffering spot{0, 0, true, 8, 0, 64, 0.4, 30, false, 0};
+  ResourceRequest need;
   need.cores = 2;
   need.memory_gb = 4;
-  need.spot_ok = true;
-  Node bin;
+  need.spot_tolerant = true;
+  MachineCapacity bin;
   bin.usable = true;
   bin.cores = 4;
   bin.memory_gb = 64;
-  auto rent = PlanRentals({ordinary, spot}, {bin}, {{need, 6, false}}, 10);
+  auto rent = PlanScaleOut({ordinary, spot}, {bin}, {{need, 6, false}}, 10);
   ASSERT_EQ(rent.size(), 1U);
-  EXPECT_EQ(rent[0].offer, 1U);
+  EXPECT_EQ(rent[0].offering, 1U);
   EXPECT_EQ(rent[0].count, 1);
-  need.spot_ok = false;
-  rent = PlanRentals({ordinary, spot}, {}, {{need, 6, false}}, 10);
+  need.spot_tolerant = false;
+  rent = PlanScaleOut({ordinary, spot}, {}, {{need, 6, false}}, 10);
   ASSERT_EQ(rent.size(), 1U);
-  EXPECT_EQ(rent[0].offer, 0U);
+  EXPECT_EQ(rent[0].offering, 0U);
   EXPECT_EQ(rent[0].count, 2);
 }
 
--- a/tests/drain_mix_test.cc
+++ b/tests/drain_mix_test.cc
@@ -16,8 +16,8 @@
  public:
   explicit DrainMix(uint64_t seed) : c_(seed, seed % 4 == 0 ? 5 : 3, Times(seed)) {
     const double detect_s = c_.settings.heartbeat_interval_s * 1.3 + 0.5 + kSlack;
-    c_.disruption =
-        std::make_unique<DisruptionOracle>(detect_s, PolicyReplicator::kFreshFor, kSettle);
+    c_.disruption = std::make_unique<DisruptionOracle>(
+        detect_s, PolicyReplicator::kConfirmationSeconds, kSettle);
   }
 
   std::string Play() {
--- a/tests/drain_policy_test.cc
+++ b/tests/drain_policy_test.cc
@@ -53,7 +53,7 @@
   EXPECT_EQ(p.drains[0].deadline_s, 600);
   EXPECT_TRUE(p.drains[2].paused);
   EXPECT_EQ(p.times.settle_s, 5);
-  EXPECT_EQ(p.times.steps_at_once, 9U);
+  EXPECT_EQ(p.times.max_evictions, 9U);
   EXPECT_EQ(p.times.replacement_tries, 2U);
 }
 
@@ -209,24 +209,24 @@
   one_.Offer(Revision(3, ""));
   Turn();
   EXPECT_EQ(two_.in_force()->revision, 5U);
-  EXPECT_TRUE(one_.Confirmed(clock_.now - 6));
+  EXPECT_TRUE(one_.IsConfirmed(clock_.now - 6));
 }
 
 // A budget may have been lowered elsewhere meanwhile.
 TEST_F(ReplicatorTest, APolicyThatCouldNotBeReadForAWhileIsNotConfirmed) {
   one_.Offer(Revision(3, ""));
   Turn();
-  EXPECT_TRUE(one_.Confirmed(0));
+  EXPECT_TRUE(one_.IsConfirmed(0));
   state_.refuse = true;
   Turn(10);
-  EXPECT_FALSE(one_.Confirmed(0));
+  EXPECT_FALSE(one_.IsConfirmed(0));
   EXPECT_EQ(one_.in_force()->revision, 3U);
   state_.refuse = false;
   Turn();
-  EXPECT_TRUE(one_.Confirmed(0));
+  EXPECT_TRUE(one_.IsConfirmed(0));
   // A new file: nothing before it is stored.
   one_.Offer(Revision(4, ""));
-  EXPECT_FALSE(one_.Confirmed(0));
+  EXPECT_FALSE(one_.IsConfirmed(0));
 }
 
 TEST_F(ReplicatorTest, OfTwoFilesWithOneRevisionTheStoredOneCounts) {
@@ -249,14 +249,14 @@
   Turn();
   EXPECT_EQ(one_.in_force()->revision, 3U);
   // Not confirmed any more: nothing voluntary happens until the operators mend it.
-  EXPECT_FALSE(one_.Confirmed(clock_.now - 5));
+  EXPECT_FALSE(one_.IsConfirmed(clock_.now - 5));
 }
 
 TEST_F(ReplicatorTest, NothingIsReadOrWrittenWithoutAFile) {
   Turn();
   EXPECT_TRUE(state_.committed.empty());
   EXPECT_EQ(one_.in_force(), nullptr);
-  EXPECT_FALSE(one_.Confirmed(0));
+  EXPECT_FALSE(one_.IsConfirmed(0));
 }
 
 TEST_F(ReplicatorTest, AnOutageOrALostAnswerOnlyDelaysIt) {
@@ -289,15 +289,15 @@
   ASSERT_TRUE(DecodeProgress(EncodeProgress(p), &back));
   EXPECT_EQ(back, p);
   EXPECT_LE(EncodeProgress(p).size(), kProgressBytes);
-  StepRecord s{"west", "job-1", 2, "m-3", 4, 5.5};
-  StepRecord step;
-  ASSERT_TRUE(DecodeStep(EncodeStep(s), &step));
+  EvictionRecord s{"west", "job-1", 2, "m-3", 4, 5.5};
+  EvictionRecord step;
+  ASSERT_TRUE(DecodeEviction(EncodeEviction(s), &step));
   EXPECT_EQ(step.machine, "m-3");
   EXPECT_EQ(step.attempt, 4U);
-  EXPECT_FALSE(DecodeProgress(EncodeStep(s), &back));
-  EXPECT_FALSE(DecodeStep(EncodeProgress(p), &step));
+  EXPECT_FALSE(DecodeProgress(EncodeEviction(s), &back));
+  EXPECT_FALSE(DecodeEviction(EncodeProgress(p), &step));
   EXPECT_FALSE(DecodeProgress(R"({"m":"m-1","e":""})", &back));
-  EXPECT_FALSE(DecodeStep("[]", &step));
+  EXPECT_FALSE(DecodeEviction("[]", &step));
 }
 
 TEST(DrainRecord, ALongReasonDoesNotOutgrowItsRow) {
@@ -318,9 +318,9 @@
   p.machines_left = 3;
   p.why = "the budget allows no more down: blue, 1 of at most 1";
   p.waiting_since_wall = 1100;
-  const StepRecord s{"west", "job-1", 2, "m-3", 4, 1130};
+  const EvictionRecord s{"west", "job-1", 2, "m-3", 4, 1130};
   DrainRecords records;
-  ReadDrainRows("[{\"m\":\"m-1\"}," + EncodeProgress(p) + "," + EncodeStep(s) + "]", &records);
+  ReadDrainRows("[{\"m\":\"m-1\"}," + EncodeProgress(p) + "," + EncodeEviction(s) + "]", &records);
   ReadDrainRows("not a page", &records);
   const std::string text = DescribeDrains(records, 1142);
   EXPECT_NE(text.find("2 machines done, 3 left"), std::string::npos) << text;
--- a/tests/drain_test.cc
+++ b/tests/drain_test.cc
@@ -45,7 +45,7 @@
   w.OneService(2);
   w.Watch(30);
   EXPECT_FALSE(w.leader->ledger().active());
-  EXPECT_EQ(w.leader->ledger().steps(), 0U);
+  EXPECT_EQ(w.leader->ledger().work_units(), 0U);
   EXPECT_EQ(w.Down("red"), 0U);
 }
 
@@ -305,7 +305,7 @@
   w.state.refuse = true;
   w.DrainOne();
   w.Watch(3);
-  ASSERT_EQ(w.leader->drainer().step_book().steps().size(), 1U);
+  ASSERT_EQ(w.leader->drainer().eviction_tracker().evictions().size(), 1U);
   w.cloud.out = true;  // so that what was on it stays down
   w.Lose("m-2");
   w.Watch(4);
@@ -323,7 +323,7 @@
   w.DrainOne();
   w.Watch(30);
   EXPECT_EQ(w.MostDown("red"), 0U);
-  EXPECT_LE(w.leader->ledger().DownOf("red"), 1U);
+  EXPECT_LE(w.leader->ledger().CountUnavailable("red"), 1U);
   w.state.refuse = false;
   EXPECT_TRUE(w.WatchUntilDone("one", 60)) << w.Why("one");
   EXPECT_EQ(w.MostDown("red"), 1U);
@@ -336,18 +336,18 @@
   w.state.refuse = true;
   w.DrainOne();
   w.Watch(3);
-  ASSERT_EQ(w.leader->drainer().step_book().steps().size(), 1U);
-  const DrainStep& chosen = w.leader->drainer().step_book().steps()[0];
-  ASSERT_EQ(chosen.phase, StepPhase::kRecording);
+  ASSERT_EQ(w.leader->drainer().eviction_tracker().evictions().size(), 1U);
+  const Eviction& chosen = w.leader->drainer().eviction_tracker().evictions()[0];
+  ASSERT_EQ(chosen.phase, EvictionPhase::kRecording);
   // Its row was written after all, but the leader never learns of it.
-  const std::string row =
-      EncodeStep({"one", "job-1", chosen.task, "m-1", chosen.attempt, w.clock.Wall()});
+  const std::string row = EncodeEviction(
+      {"one", "job-1", chosen.task_index, "m-1", chosen.attempt_number, w.clock.Wall()});
   w.state.keys["deckhall/pages/000099"] = {"[" + row + "]", ++w.state.revision, 0};
   w.state.refuse = false;
   w.NextLeader();
-  ASSERT_EQ(w.leader->drainer().step_book().steps().size(), 1U);
+  ASSERT_EQ(w.leader->drainer().eviction_tracker().evictions().size(), 1U);
   w.Watch(2);
-  EXPECT_EQ(w.leader->drainer().step_book().steps().size(), 0U);
+  EXPECT_EQ(w.leader->drainer().eviction_tracker().evictions().size(), 0U);
   EXPECT_EQ(w.At("m-1").Count("job-1"), 2U);
   EXPECT_TRUE(w.WatchUntilDone("one", 60)) << w.Why("one");
   EXPECT_EQ(w.MostDown("red"), 1U);
@@ -368,7 +368,7 @@
     w.NextLeader();
     w.Watch(10);
     EXPECT_EQ(w.Down("red"), 1U);
-    EXPECT_EQ(w.leader->drainer().step_book().steps().size(), 1U);
+    EXPECT_EQ(w.leader->drainer().eviction_tracker().evictions().size(), 1U);
   }
   w.Mend("m-2");
   EXPECT_TRUE(w.WatchUntilDone("one", 100)) << w.Why("one");
@@ -421,7 +421,7 @@
   w.state.refuse = true;
   w.DrainOne();
   w.Watch(3);
-  ASSERT_EQ(w.leader->drainer().step_book().steps().size(), 1U);
+  ASSERT_EQ(w.leader->drainer().eviction_tracker().evictions().size(), 1U);
   w.lease.until = w.clock.now - 1;
   w.state.refuse = false;
   w.Pass(5);
@@ -441,7 +441,7 @@
   w.Watch(30);
   EXPECT_EQ(w.Down("red"), 0U);
   EXPECT_FALSE(w.Returned("m-1"));
-  EXPECT_TRUE(w.leader->drainer().step_book().steps().empty());
+  EXPECT_TRUE(w.leader->drainer().eviction_tracker().evictions().empty());
   EXPECT_GE(w.OnMachine("m-1"), 2U);
   w.Lose("m-2");
   w.Watch(20);
@@ -457,12 +457,12 @@
     w.state.refuse = true;
     w.DrainOne();
     w.Watch(3);
-    ASSERT_EQ(w.leader->drainer().step_book().steps().size(), 1U);
+    ASSERT_EQ(w.leader->drainer().eviction_tracker().evictions().size(), 1U);
     w.Policy(std::string(kOneDownAtATime) + drains);
     w.state.refuse = false;
     w.Watch(10);
     EXPECT_EQ(w.MostDown("red"), 0U) << drains;
-    EXPECT_TRUE(w.leader->drainer().step_book().steps().empty());
+    EXPECT_TRUE(w.leader->drainer().eviction_tracker().evictions().empty());
   }
 }
 
@@ -755,15 +755,15 @@
   EXPECT_EQ(w.Submit(w.Service("job-1", 2)).status, 201);
   w.Pass(3);
   const JobIndex j = w.leader->job_store().Find("job-1");
-  EXPECT_EQ(w.leader->ledger().AvailableOf(j), 0U);
-  EXPECT_EQ(w.leader->ledger().DownOf("blue"), 2U);
+  EXPECT_EQ(w.leader->ledger().CountAvailable(j), 0U);
+  EXPECT_EQ(w.leader->ledger().CountUnavailable("blue"), 2U);
   w.Pass(10);
-  EXPECT_EQ(w.leader->ledger().AvailableOf(j), 2U);
-  EXPECT_EQ(w.leader->ledger().DownOf("blue"), 0U);
+  EXPECT_EQ(w.leader->ledger().CountAvailable(j), 2U);
+  EXPECT_EQ(w.leader->ledger().CountUnavailable("blue"), 0U);
   // Not heard: in doubt, and so down.
   w.At("m-1").silent = true;
   w.Pass(3);
-  EXPECT_EQ(w.leader->ledger().DownOf("blue"), 2U);
+  EXPECT_EQ(w.leader->ledger().CountUnavailable("blue"), 2U);
 }
 
 TEST(Ledger, AServiceThatNeverRanInThisTermUsesNoBudget) {
@@ -772,11 +772,11 @@
   w.Policy("(budgets)");
   EXPECT_EQ(w.Submit(w.Service("job-1", 2)).status, 201);
   w.Pass(3);
-  EXPECT_EQ(w.leader->ledger().DownOf("blue"), 0U);
+  EXPECT_EQ(w.leader->ledger().CountUnavailable("blue"), 0U);
   // Under the next leader nobody knows any more whether it ran.
   w.NextLeader();
   w.Pass(1);
-  EXPECT_EQ(w.leader->ledger().DownOf("blue"), 2U);
+  EXPECT_EQ(w.leader->ledger().CountUnavailable("blue"), 2U);
 }
 
 TEST(Ledger, AJobThatIsOverUsesNoBudget) {
@@ -787,10 +787,10 @@
   w.StartService("job-1", 2, "blue");
   w.Lose("m-1");
   w.Pass(10);
-  EXPECT_EQ(w.leader->ledger().DownOf("blue"), 2U);
+  EXPECT_EQ(w.leader->ledger().CountUnavailable("blue"), 2U);
   EXPECT_EQ(w.Ask(JobOperation::kCancel, "job-1").status, 200);
   w.Pass(1);
-  EXPECT_EQ(w.leader->ledger().DownOf("blue"), 0U);
+  EXPECT_EQ(w.leader->ledger().CountUnavailable("blue"), 0U);
 }
 
 }  // namespace
--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -174,7 +174,7 @@
   double AvailableWriteTokens() override { return write_room; }
 };
 
-struct FakeCloud : CloudPort {
+struct FakeCloud : CloudProvider {
   std::vector<MachineType> types;
   std::vector<std::pair<std::string, int>> rented;         // request, count
   std::vector<std::string> zones;                          // of the machines rented
@@ -193,28 +193,28 @@
       fn();
     }
   }
-  void Types(std::function<void(bool, std::vector<MachineType>)> done) override {
+  void ListTypes(std::function<void(bool, std::vector<MachineType>)> done) override {
     queue.push_back([this, done] { done(!out, types); });
   }
-  void Rent(const std::string& request, const std::string&, const std::string& zone, bool,
-            int count, std::function<void(RentAnswer)> done) override {
+  void ScaleOut(const std::string& request, const std::string&, const std::string& zone, bool,
+                int count, std::function<void(ScaleOutResponse)> done) override {
     zones.push_back(zone);
     rented.emplace_back(request, count);
-    RentAnswer a;
+    ScaleOutResponse a;
     a.ok = !out && !refuse;
-    a.refused = refuse;
+    a.out_of_capacity = refuse;
     for (int i = 0; i < count && a.ok; ++i) {
       a.machines.push_back("m-9" + std::to_string(next++));
       given.emplace_back(a.machines.back(), zone);
     }
     queue.push_back([done, a] { done(a); });
   }
-  void Return(const std::vector<std::string>& machines, std::function<void(bool)> done) override {
+  void ScaleIn(const std::vector<std::string>& machines, std::function<void(bool)> done) override {
     if (!out) returned.insert(returned.end(), machines.begin(), machines.end());
     queue.push_back([this, done] { done(!out); });
   }
-  void List(const std::string&,
-            std::function<void(bool, std::vector<CloudInstance>, bool)> done) override {
+  void ListInstances(const std::string&,
+                     std::function<void(bool, std::vector<CloudInstance>, bool)> done) override {
     queue.push_back([this, done] { done(!listed.empty(), listed, false); });
   }
 };
--- a/tests/gang_test.cc
+++ b/tests/gang_test.cc
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 
 #include "gang_world.h"
-#include "sched/capacity.h"
+#include "sched/scale_out_plan.h"
 
 namespace deckhall {
 namespace {
@@ -439,12 +439,12 @@
 }
 
 TEST(Capacity, AGangThatMustBeInOneZoneIsRentedRoomInOne) {
-  Offer east{0, 0, false, 8, 0, 64, 1.0, 30, false, 0};
-  Offer west{0, 1, false, 8, 0, 64, 1.0, 30, false, 0};
-  Need need;
+  InstanceOffering east{0, 0, false, 8, 0, 64, 1.0, 30, false, 0};
+  InstanceOffering west{0, 1, false, 8, 0, 64, 1.0, 30, false, 0};
+  ResourceRequest need;
   need.cores = 2;
   need.memory_gb = 4;
-  std::vector<Node> bins(2);
+  std::vector<MachineCapacity> bins(2);
   for (uint32_t zone = 0; zone < 2; ++zone) {
     bins[zone].zone = zone;
     bins[zone].usable = true;
@@ -452,11 +452,11 @@
     bins[zone].memory_gb = 64;
   }
   // Together there is room for five of its tasks, in the better zone for three.
-  const auto rent = PlanRentals({east, west}, bins, {{need, 5, true}}, 10);
+  const auto rent = PlanScaleOut({east, west}, bins, {{need, 5, true}}, 10);
   ASSERT_EQ(rent.size(), 1U);
-  EXPECT_EQ(rent[0].offer, 1U);
+  EXPECT_EQ(rent[0].offering, 1U);
   EXPECT_EQ(rent[0].count, 1);
-  EXPECT_TRUE(PlanRentals({east, west}, bins, {{need, 5, false}}, 10).empty());
+  EXPECT_TRUE(PlanScaleOut({east, west}, bins, {{need, 5, false}}, 10).empty());
 }
 
 }  // namespace
--- a/tests/golden_rows_test.cc
+++ b/tests/golden_rows_test.cc
@@ -308,14 +308,14 @@
   RecordStore store;
   JobStore book;
   Fleet fleet;
-  Rentals rentals;
+  Provisioner rentals;
   CacheHints hints;
 
   Books()
       : store(&state, &clock, OnePage(), kLeaderKey, kRecordedTerm),
         book(&store),
         fleet(&book, &clock, kRecordedTerm, FleetOptions()),
-        rentals(&cloud, &store, &fleet, &book, &clock, kRecordedTerm, RentalOptions()),
+        rentals(&cloud, &store, &fleet, &book, &clock, kRecordedTerm, ProvisionerOptions()),
         hints(&store, &book, &fleet, kRowReserve) {
     state.revision = kRecordedTerm;
     state.keys[kLeaderKey] = {"{}", kRecordedTerm, 0};
@@ -329,8 +329,8 @@
   void Read(const Rows& rows) {
     for (const std::string& text : rows) {
       const RecordId row = store.Add(kNotWritten, kRowReserve, WritePriority::kBackground);
-      const bool read =
-          rentals.LoadRow(row, text) || hints.LoadRecord(row, text) || book.LoadRecord(row, text);
+      const bool read = rentals.LoadRecord(row, text) || hints.LoadRecord(row, text) ||
+                        book.LoadRecord(row, text);
       EXPECT_TRUE(read) << text;
     }
     book.FinishLoad(clock.Now(), clock.Wall());
@@ -420,7 +420,7 @@
   uint32_t pool = 0;
   while (!books.rentals.pools()[pool].spot) ++pool;
   // The recorded one is the tenth of its term.
-  for (int i = 0; i < 10; ++i) books.rentals.Rent(pool, 2, "golden");
+  for (int i = 0; i < 10; ++i) books.rentals.ScaleOut(pool, 2, "golden");
   const std::string page = books.Page();
   ASSERT_EQ(rows.size(), 1U);
   EXPECT_TRUE(page.ends_with("," + rows.front() + "]")) << page;
@@ -524,7 +524,7 @@
                                                                  {DrainState::kPaused, "paused"},
                                                                  {DrainState::kDone, "done"}};
   for (const auto& [state, word] : words) {
-    EXPECT_EQ(StateWord(state), word);
+    EXPECT_EQ(DrainStateName(state), word);
     DrainProgress read;
     ASSERT_TRUE(DecodeProgress(R"({"drain":"west","state":")" + word + R"("})", &read));
     EXPECT_EQ(read.state, state) << word;
@@ -532,7 +532,7 @@
 }
 
 TEST(GoldenRows, DrainStepsAreWrittenAndReadAsEver) {
-  StepRecord step;
+  EvictionRecord step;
   step.drain = "west";
   step.job = "job-12";
   step.task = 3;
@@ -541,16 +541,16 @@
   step.since_wall = 500001000.25;
   const std::string text = R"({"drain_step":"west","job":"job-12","task":3,"machine":"m-1",)"
                            R"("attempt":9007199254740993,"since":500001000.25})";
-  EXPECT_EQ(EncodeStep(step), text);
-  StepRecord read;
-  ASSERT_TRUE(DecodeStep(text, &read));
+  EXPECT_EQ(EncodeEviction(step), text);
+  EvictionRecord read;
+  ASSERT_TRUE(DecodeEviction(text, &read));
   EXPECT_EQ(read.drain, step.drain);
   EXPECT_EQ(read.job, step.job);
   EXPECT_EQ(read.task, step.task);
   EXPECT_EQ(read.machine, step.machine);
   EXPECT_EQ(read.attempt, step.attempt);
   EXPECT_EQ(read.since_wall, step.since_wall);
-  EXPECT_EQ(EncodeStep(StepRecord()),
+  EXPECT_EQ(EncodeEviction(EvictionRecord()),
             R"({"drain_step":"","job":"","task":0,"machine":"","attempt":0,"since":0.0})");
 }
 
