--- a/src/api/http_api.cc
+++ b/src/api/http_api.cc
@@ -59,75 +59,76 @@
 
 void HttpApi::HandleJobs(const HttpMessage& request, const std::string& path,
                          const HttpServer::Reply& reply) {
-  JobRequest ask;
+  JobRequest job_request;
   if (path == kJobsPath) {
     if (request.method != "POST") {
       reply(WrongMethod("POST"));
       return;
     }
-    ask.operation = JobOperation::kSubmit;
-    ask.validation_error = ParseJob(request.body, &ask.job_id, &ask.job);
+    job_request.operation = JobOperation::kSubmit;
+    job_request.validation_error = ParseJob(request.body, &job_request.job_id, &job_request.job);
     // Without a usable id nobody can know the job.
-    if (ask.job_id.empty()) {
-      reply(Error(400, ask.validation_error.c_str()));
+    if (job_request.job_id.empty()) {
+      reply(Error(400, job_request.validation_error.c_str()));
       return;
     }
-    ForwardJobRequest(std::move(ask), reply);
+    ForwardJobRequest(std::move(job_request), reply);
     return;
   }
-  ask.job_id = path.substr(kJobsPath.size() + 1);
-  ask.operation = JobOperation::kGet;
-  if (ask.job_id.size() > kCancelEnd.size() && ask.job_id.ends_with(kCancelEnd)) {
-    ask.job_id.resize(ask.job_id.size() - kCancelEnd.size());
-    ask.operation = JobOperation::kCancel;
+  job_request.job_id = path.substr(kJobsPath.size() + 1);
+  job_request.operation = JobOperation::kGet;
+  if (job_request.job_id.size() > kCancelEnd.size() && job_request.job_id.ends_with(kCancelEnd)) {
+    job_request.job_id.resize(job_request.job_id.size() - kCancelEnd.size());
+    job_request.operation = JobOperation::kCancel;
   }
-  if (ask.job_id.find('/') != std::string::npos) {
+  if (job_request.job_id.find('/') != std::string::npos) {
     reply(Error(404, "no such path"));
     return;
   }
-  const char* method = ask.operation == JobOperation::kGet ? "GET" : "POST";
+  const char* method = job_request.operation == JobOperation::kGet ? "GET" : "POST";
   if (request.method != method) {
     reply(WrongMethod(method));
     return;
   }
-  if (!ValidJobId(ask.job_id)) {
+  if (!ValidJobId(job_request.job_id)) {
     // Can never have been accepted.
     reply(Error(404, "no such job"));
     return;
   }
-  ForwardJobRequest(std::move(ask), reply);
+  ForwardJobRequest(std::move(job_request), reply);
 }
 
-void HttpApi::ForwardJobRequest(JobRequest ask, const HttpServer::Reply& reply) {
+void HttpApi::ForwardJobRequest(JobRequest job_request, const HttpServer::Reply& reply) {
   const double began = clock_->Now();
   JobRequest head;
-  head.operation = ask.operation;
-  head.job_id = ask.job_id;
-  backend_.handle_job_request(std::move(ask), [this, head, began, reply](const JobResponse& r) {
-    HttpAnswer a;
-    a.status = r.status;
-    a.retry_after_s = r.retry_after_s;
-    a.body = EncodeJobResponse(head, r);
-    if (head.operation == JobOperation::kSubmit) {
-      ++submits_;
-      if (r.status >= 300) ++refusals_;
-      submit_ms_((clock_->Now() - began) * 1000 + 0.5);
-    }
-    reply(a);
-  });
+  head.operation = job_request.operation;
+  head.job_id = job_request.job_id;
+  backend_.handle_job_request(std::move(job_request),
+                              [this, head, began, reply](const JobResponse& response) {
+                                HttpAnswer a;
+                                a.status = response.status;
+                                a.retry_after_s = response.retry_after_s;
+                                a.body = EncodeJobResponse(head, response);
+                                if (head.operation == JobOperation::kSubmit) {
+                                  ++submits_;
+                                  if (response.status >= 300) ++refusals_;
+                                  submit_ms_((clock_->Now() - began) * 1000 + 0.5);
+                                }
+                                reply(a);
+                              });
 }
 
 void HttpApi::HandleHeartbeat(const HttpMessage& request, const HttpServer::Reply& reply) {
-  Heartbeat report;
-  if (!DecodeHeartbeat(request.body, &report)) {
+  Heartbeat heartbeat;
+  if (!DecodeHeartbeat(request.body, &heartbeat)) {
     spdlog::warn("a report is malformed");
     reply(Error(400, "malformed report"));
     return;
   }
-  backend_.handle_heartbeat(std::move(report), [reply](const HeartbeatResponse& r) {
+  backend_.handle_heartbeat(std::move(heartbeat), [reply](const HeartbeatResponse& response) {
     HttpAnswer a;
-    a.status = r.status;
-    a.body = EncodeHeartbeatResponse(r);
+    a.status = response.status;
+    a.body = EncodeHeartbeatResponse(response);
     reply(a);
   });
 }
--- a/src/api/http_api.h
+++ b/src/api/http_api.h
@@ -30,7 +30,7 @@
  private:
   void HandleJobs(const HttpMessage& request, const std::string& path,
                   const HttpServer::Reply& reply);
-  void ForwardJobRequest(JobRequest ask, const HttpServer::Reply& reply);
+  void ForwardJobRequest(JobRequest request, const HttpServer::Reply& reply);
   void HandleHeartbeat(const HttpMessage& request, const HttpServer::Reply& reply);
 
   const Clock* clock_;
--- a/src/app/controller.cc
+++ b/src/app/controller.cc
@@ -21,12 +21,13 @@
 constexpr double kUnreachableLeaderSeconds = 2;
 constexpr double kResignPauseSeconds = 20;
 
-ElectionOptions ElectionOptionsFrom(const Settings& s, const Tuning& t, uint64_t instance) {
+ElectionOptions ElectionOptionsFrom(const Settings& settings, const Tuning& tuning,
+                                    uint64_t instance) {
   ElectionOptions o;
-  o.label = s.label;
+  o.label = settings.label;
   o.instance = instance;
-  o.lease_ttl_ms = static_cast<int>(t.lease_ms);
-  o.keep_alive_interval_s = t.keep_alive_ms / 1000;
+  o.lease_ttl_ms = static_cast<int>(tuning.lease_ms);
+  o.keep_alive_interval_s = tuning.keep_alive_ms / 1000;
   return o;
 }
 
@@ -103,8 +104,8 @@
   ports.is_zone_suspected = [this](const std::string& zone) {
     return zone != settings_.site && mesh_.IsSiteSuspected(zone);
   };
-  for (const Peer& p : settings_.siblings) {
-    if (p.label == election_.former_leader_label()) ports.former_leader_zone = p.site;
+  for (const Peer& peer : settings_.siblings) {
+    if (peer.label == election_.former_leader_label()) ports.former_leader_zone = peer.site;
   }
   leader_ = std::make_unique<Leader>(ports, &settings_, &tuning_, Election::kKey, term);
   leader_->on_leadership_lost = [this](const char* why) { election_.LoseLeadership(why); };
@@ -162,26 +163,26 @@
                   std::move(answered));
 }
 
-void Controller::HandleHeartbeat(Heartbeat report, HeartbeatResponseCallback done) {
+void Controller::HandleHeartbeat(Heartbeat heartbeat, HeartbeatResponseCallback done) {
   if (leader_) {
-    done(leader_->HandleHeartbeat(report));
+    done(leader_->HandleHeartbeat(heartbeat));
     on_work();
     return;
   }
   const std::string to = mesh_.Leader();
   if (to.empty() || to == settings_.label) {
-    HeartbeatResponse reply;
+    HeartbeatResponse response;
     // The way between controllers is shut, but the state service knows who leads:
     // the worker may reach it.
     const std::string& known = election_.leader_label();
     if (known != settings_.label && mesh_.RefusesConnections(known)) {
-      reply.status = 421;
-      reply.redirect_to = known;
+      response.status = 421;
+      response.redirect_to = known;
     }
-    done(reply);
+    done(response);
     return;
   }
-  mesh_.Call(to, std::move(report), kHeartbeatForwardTimeoutSeconds,
+  mesh_.Call(to, std::move(heartbeat), kHeartbeatForwardTimeoutSeconds,
              [done = std::move(done)](Mesh::Body body) {
                auto* reply = std::get_if<HeartbeatResponse>(&body);
                done(reply == nullptr ? HeartbeatResponse() : *reply);
@@ -190,7 +191,8 @@
 
 void Controller::HandlePeerRequest(Mesh::Body body, const Mesh::ResponseCallback& reply) {
   if (auto* ask = std::get_if<JobRequest>(&body)) {
-    if (!ServeHere(*ask, [reply](const JobResponse& r) { reply(r); })) reply(NoLeaderResponse());
+    if (!ServeHere(*ask, [reply](const JobResponse& response) { reply(response); }))
+      reply(NoLeaderResponse());
   } else if (auto* report = std::get_if<Heartbeat>(&body)) {
     if (!leader_) {
       reply(HeartbeatResponse());
--- a/src/app/controller.h
+++ b/src/app/controller.h
@@ -48,8 +48,8 @@
   void OfferPolicy(std::shared_ptr<const DisruptionPolicy> policy) {
     policy_replicator_.Offer(std::move(policy));
   }
-  void HandleJobRequest(JobRequest ask, JobResponseCallback done);
-  void HandleHeartbeat(Heartbeat report, HeartbeatResponseCallback done);
+  void HandleJobRequest(JobRequest request, JobResponseCallback done);
+  void HandleHeartbeat(Heartbeat heartbeat, HeartbeatResponseCallback done);
   bool IsHealthy() const { return health_.IsHealthy(ports_.clock->Now()); }
   Mesh& mesh() { return mesh_; }
   const Election& election() const { return election_; }
--- a/src/app/drains_command.cc
+++ b/src/app/drains_command.cc
@@ -42,8 +42,8 @@
   if (!ParseJson(page, &doc) || !doc.IsArray()) return;
   for (const auto& row : doc.GetArray()) {
     rapidjson::StringBuffer buffer;
-    JsonWriter w(buffer);
-    row.Accept(w);
+    JsonWriter writer(buffer);
+    row.Accept(writer);
     const std::string_view text(buffer.GetString(), buffer.GetSize());
     DrainProgress progress;
     EvictionRecord step;
@@ -87,14 +87,14 @@
   Timer timeout(&loop, [&loop] { loop.Stop(); });
   timeout.Start(kAnswerWithin);
   std::function<void(const std::string&)> list = [&](const std::string& after) {
-    state.List(std::string(RecordStore::kPrefix), after, [&](const KeyValueResponse& answer) {
-      if (answer.status != KeyValueStatus::kOk) {
+    state.List(std::string(RecordStore::kPrefix), after, [&](const KeyValueResponse& response) {
+      if (response.status != KeyValueStatus::kOk) {
         loop.Stop();
         return;
       }
-      for (const KeyValue& row : answer.entries) ReadDrainRows(row.value, &records);
-      if (answer.truncated && !answer.entries.empty()) {
-        list(answer.entries.back().key);
+      for (const KeyValue& row : response.entries) ReadDrainRows(row.value, &records);
+      if (response.truncated && !response.entries.empty()) {
+        list(response.entries.back().key);
         return;
       }
       complete = true;
--- a/src/app/process.cc
+++ b/src/app/process.cc
@@ -16,9 +16,9 @@
   return (static_cast<uint64_t>(device()) << 32 | device()) | 1;
 }
 
-HttpServerLimits ServerLimits(const Settings& s) {
+HttpServerLimits ServerLimits(const Settings& settings) {
   HttpServerLimits l;
-  l.connections = static_cast<size_t>(ServedConnections(s));
+  l.connections = static_cast<size_t>(ServedConnections(settings));
   return l;
 }
 
@@ -37,12 +37,14 @@
       http_api_(&clock_, {[this](JobRequest a, HttpApi::JobResponseCallback d) {
                             controller_.HandleJobRequest(std::move(a), std::move(d));
                           },
-                          [this](Heartbeat r, HttpApi::HeartbeatResponseCallback d) {
-                            controller_.HandleHeartbeat(std::move(r), std::move(d));
+                          [this](Heartbeat heartbeat, HttpApi::HeartbeatResponseCallback d) {
+                            controller_.HandleHeartbeat(std::move(heartbeat), std::move(d));
                           },
                           [this] { return controller_.IsHealthy(); }}),
       server_(loop, settings.serve_on, ServerLimits(settings),
-              [this](const HttpMessage& m, const HttpServer::Reply& r) { http_api_.Handle(m, r); }),
+              [this](const HttpMessage& message, const HttpServer::Reply& r) {
+                http_api_.Handle(message, r);
+              }),
       tick_timer_(loop, [this] { Tick(); }),
       immediate_tick_(loop, [this] { controller_.Tick(); }),
       settings_(settings),
--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -27,17 +27,17 @@
     if (!refusal_timer_.active()) refusal_timer_.Start(0.05);
     return;
   }
-  http_.Call(endpoint_, call, [this, done = std::move(done)](HttpResult r) {
-    if (r.status == 429) budget_.Drain();
-    done(std::move(r));
+  http_.Call(endpoint_, call, [this, done = std::move(done)](HttpResult result) {
+    if (result.status == 429) budget_.Drain();
+    done(std::move(result));
   });
 }
 
 void CloudClient::ListTypes(std::function<void(bool, std::vector<MachineType>)> done) {
-  Send({"GET", "/flavors", "", kTimeout}, 1, [done = std::move(done)](const HttpResult& r) {
+  Send({"GET", "/flavors", "", kTimeout}, 1, [done = std::move(done)](const HttpResult& result) {
     std::vector<MachineType> types;
-    const bool ok = r.status == 200 && DecodeTypes(r.body, &types);
-    if (r.status == 200 && !ok) spdlog::warn("cloud: unusable machine types");
+    const bool ok = result.status == 200 && DecodeTypes(result.body, &types);
+    if (result.status == 200 && !ok) spdlog::warn("cloud: unusable machine types");
     done(ok, std::move(types));
   });
 }
@@ -46,32 +46,34 @@
                            const std::string& zone, bool spot, int count,
                            std::function<void(ScaleOutResponse)> done) {
   Send({"POST", "/machines", EncodeScaleOut(request, type, zone, spot, count), kTimeout}, 0,
-       [done = std::move(done)](const HttpResult& r) {
-         ScaleOutResponse answer;
-         answer.ok = r.status == 200 && DecodeScaleOutResponse(r.body, &answer.machines);
-         answer.out_of_capacity =
-             r.status == 503 && r.body.find("no capacity") != std::string::npos;
-         answer.malformed = r.status == 400;
-         if (r.status == 200 && !answer.ok) spdlog::warn("cloud: unusable answer to a rental");
-         if (answer.malformed) spdlog::error("cloud: rental refused as malformed");
-         done(std::move(answer));
+       [done = std::move(done)](const HttpResult& result) {
+         ScaleOutResponse response;
+         response.ok =
+             result.status == 200 && DecodeScaleOutResponse(result.body, &response.machines);
+         response.out_of_capacity =
+             result.status == 503 && result.body.find("no capacity") != std::string::npos;
+         response.malformed = result.status == 400;
+         if (result.status == 200 && !response.ok)
+           spdlog::warn("cloud: unusable answer to a rental");
+         if (response.malformed) spdlog::error("cloud: rental refused as malformed");
+         done(std::move(response));
        });
 }
 
 void CloudClient::ScaleIn(const std::vector<std::string>& machines,
                           std::function<void(bool)> done) {
   Send({"POST", "/machines/return", EncodeScaleIn(machines), kTimeout}, 0,
-       [done = std::move(done)](const HttpResult& r) { done(r.status == 200); });
+       [done = std::move(done)](const HttpResult& result) { done(result.status == 200); });
 }
 
 void CloudClient::ListInstances(const std::string& after,
                                 std::function<void(bool, std::vector<CloudInstance>, bool)> done) {
   Send({"GET", InstanceListPath(after, 500), "", kTimeout}, 1,
-       [done = std::move(done)](const HttpResult& r) {
+       [done = std::move(done)](const HttpResult& result) {
          std::vector<CloudInstance> rows;
          bool truncated = false;
-         const bool ok = r.status == 200 && DecodeInstanceList(r.body, &rows, &truncated);
-         if (r.status == 200 && !ok) spdlog::warn("cloud: unusable machine list");
+         const bool ok = result.status == 200 && DecodeInstanceList(result.body, &rows, &truncated);
+         if (result.status == 200 && !ok) spdlog::warn("cloud: unusable machine list");
          done(ok, std::move(rows), truncated);
        });
 }
--- a/src/cloud/provisioner.cc
+++ b/src/cloud/provisioner.cc
@@ -12,34 +12,34 @@
 
 std::string EncodeTypes(const std::vector<MachineType>& types) {
   rapidjson::StringBuffer buffer;
-  JsonWriter w(buffer);
-  w.SetMaxDecimalPlaces(5);
-  w.StartObject();
-  w.Key("T");
-  w.StartArray();
-  for (const auto& t : types) {
-    w.StartObject();
-    PutString(w, "n", t.name);
-    auto number = [&w](const char* name, double v) {
-      w.Key(name);
-      w.Double(v);
+  JsonWriter writer(buffer);
+  writer.SetMaxDecimalPlaces(5);
+  writer.StartObject();
+  writer.Key("T");
+  writer.StartArray();
+  for (const auto& type : types) {
+    writer.StartObject();
+    PutString(writer, "n", type.name);
+    auto number = [&writer](const char* name, double v) {
+      writer.Key(name);
+      writer.Double(v);
     };
-    number("c", t.cores);
-    number("g", t.gpus);
-    number("m", t.memory_gb);
-    number("ca", t.cache_gb);
-    number("f", t.fetch_gb_per_s);
-    number("p", t.price);
-    number("sp", t.spot_price);
-    number("b", t.boot_s);
-    w.Key("z");
-    w.StartArray();
-    for (const auto& z : t.zones) w.String(z);
-    w.EndArray();
-    w.EndObject();
+    number("c", type.cores);
+    number("g", type.gpus);
+    number("m", type.memory_gb);
+    number("ca", type.cache_gb);
+    number("f", type.fetch_gb_per_s);
+    number("p", type.price);
+    number("sp", type.spot_price);
+    number("b", type.boot_s);
+    writer.Key("z");
+    writer.StartArray();
+    for (const auto& z : type.zones) writer.String(z);
+    writer.EndArray();
+    writer.EndObject();
   }
-  w.EndArray();
-  w.EndObject();
+  writer.EndArray();
+  writer.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
 }
 
@@ -47,30 +47,31 @@
   std::vector<MachineType> types;
   if (!rows.IsArray()) return types;
   for (const auto& row : rows.GetArray()) {
-    MachineType t;
-    if (!JsonString(row, "n", &t.name)) continue;
-    JsonNumber(row, "c", &t.cores);
-    JsonNumber(row, "g", &t.gpus);
-    JsonNumber(row, "m", &t.memory_gb);
-    JsonNumber(row, "ca", &t.cache_gb);
-    JsonNumber(row, "f", &t.fetch_gb_per_s);
-    JsonNumber(row, "p", &t.price);
-    JsonNumber(row, "sp", &t.spot_price);
-    JsonNumber(row, "b", &t.boot_s);
+    MachineType type;
+    if (!JsonString(row, "n", &type.name)) continue;
+    JsonNumber(row, "c", &type.cores);
+    JsonNumber(row, "g", &type.gpus);
+    JsonNumber(row, "m", &type.memory_gb);
+    JsonNumber(row, "ca", &type.cache_gb);
+    JsonNumber(row, "f", &type.fetch_gb_per_s);
+    JsonNumber(row, "p", &type.price);
+    JsonNumber(row, "sp", &type.spot_price);
+    JsonNumber(row, "b", &type.boot_s);
     const JsonValue* zones = JsonMember(row, "z");
     if (zones != nullptr && zones->IsArray()) {
       for (const auto& z : zones->GetArray()) {
-        if (z.IsString()) t.zones.emplace_back(z.GetString());
+        if (z.IsString()) type.zones.emplace_back(z.GetString());
       }
     }
-    types.push_back(std::move(t));
+    types.push_back(std::move(type));
   }
   return types;
 }
 
 // Room for what may still come.
-size_t MachineReserve(const Machine& m, const std::string& text) {
-  return text.size() + (m.endpoint.empty() ? 24 : 0) + (m.unrenewed_since_wall < 0 ? 20 : 0);
+size_t MachineReserve(const Machine& machine, const std::string& text) {
+  return text.size() + (machine.endpoint.empty() ? 24 : 0) +
+         (machine.unrenewed_since_wall < 0 ? 20 : 0);
 }
 
 }  // namespace
@@ -86,36 +87,36 @@
       term_(term),
       options_(options) {}
 
-bool Provisioner::LoadRecord(RecordId row, const std::string& text) {
+bool Provisioner::LoadRecord(RecordId record_id, const std::string& text) {
   rapidjson::Document doc;
   if (!ParseJson(text, &doc) || !doc.IsObject()) return false;
   std::string name;
   if (const JsonValue* rows = JsonMember(doc, "T")) {
-    types_record_ = row;
+    types_record_ = record_id;
     SetTypes(DecodeTypesRecord(*rows));
     return true;
   }
   if (JsonString(doc, "m", &name)) {
-    const MachineIndex mi = fleet_->Add(name);
-    Machine& m = (*fleet_)[mi];
-    m.record_id = row;
+    const MachineIndex machine_index = fleet_->Add(name);
+    Machine& machine = (*fleet_)[machine_index];
+    machine.record_id = record_id;
     std::string word;
-    JsonString(doc, "e", &m.endpoint);
-    if (JsonString(doc, "c", &word)) m.type = job_store_->types.Add(word);
-    if (JsonString(doc, "z", &word)) m.zone = job_store_->zones.Add(word);
-    JsonBool(doc, "sp", &m.spot);
-    JsonNumber(doc, "w", &m.provisioned_at_wall);
-    JsonNumber(doc, "u", &m.unrenewed_since_wall);
+    JsonString(doc, "e", &machine.endpoint);
+    if (JsonString(doc, "c", &word)) machine.type = job_store_->types.Add(word);
+    if (JsonString(doc, "z", &word)) machine.zone = job_store_->zones.Add(word);
+    JsonBool(doc, "sp", &machine.spot);
+    JsonNumber(doc, "w", &machine.provisioned_at_wall);
+    JsonNumber(doc, "u", &machine.unrenewed_since_wall);
     // Its address was durable before its first launch: without one it is empty.
-    m.may_run_former_attempts = !m.endpoint.empty();
-    m.registered = true;
-    record_store_->Reserve(row, MachineReserve(m, text));
+    machine.may_run_former_attempts = !machine.endpoint.empty();
+    machine.registered = true;
+    record_store_->Reserve(record_id, MachineReserve(machine, text));
     return true;
   }
   if (JsonString(doc, "r", &name)) {
     auto intent = std::make_unique<ScaleOutRequest>();
     intent->request_id = name;
-    intent->record_id = row;
+    intent->record_id = record_id;
     intent->from_earlier_term = true;
     JsonString(doc, "c", &intent->type);
     JsonString(doc, "z", &intent->zone);
@@ -134,18 +135,18 @@
 void Provisioner::SetTypes(std::vector<MachineType> types) {
   types_ = std::move(types);
   type_of_.clear();
-  for (const auto& t : types_) {
-    const uint32_t at = job_store_->types.Add(t.name);
+  for (const auto& type : types_) {
+    const uint32_t at = job_store_->types.Add(type.name);
     if (at >= type_of_.size()) type_of_.resize(at + 1, nullptr);
-    type_of_[at] = &t;
+    type_of_[at] = &type;
   }
   fleet_->InvalidateAllCapacity();
   std::vector<MachinePool> pools;
-  for (const auto& t : types_) {
-    for (const auto& z : t.zones) {
+  for (const auto& type : types_) {
+    for (const auto& z : type.zones) {
       for (const bool spot : {false, true}) {
         MachinePool pool;
-        pool.type = job_store_->types.Add(t.name);
+        pool.type = job_store_->types.Add(type.name);
         pool.zone = job_store_->zones.Add(z);
         pool.spot = spot;
         for (const MachinePool& old : pools_) {
@@ -165,18 +166,18 @@
 MachinePool* Provisioner::FindPool(const std::string& type, const std::string& zone, bool spot) {
   const uint32_t t = job_store_->types.Find(type);
   const uint32_t z = job_store_->zones.Find(zone);
-  for (MachinePool& p : pools_) {
-    if (p.type == t && p.zone == z && p.spot == spot) return &p;
+  for (MachinePool& pool : pools_) {
+    if (pool.type == t && pool.zone == z && pool.spot == spot) return &pool;
   }
   return nullptr;
 }
 
-int Provisioner::PendingMachines(uint32_t pool) const {
-  const MachinePool& p = pools_[pool];
+int Provisioner::PendingMachines(uint32_t pool_index) const {
+  const MachinePool& pool = pools_[pool_index];
   int sum = 0;
   for (const auto& i : requests_) {
-    if (i->spot == p.spot && i->type == job_store_->types[p.type] &&
-        i->zone == job_store_->zones[p.zone]) {
+    if (i->spot == pool.spot && i->type == job_store_->types[pool.type] &&
+        i->zone == job_store_->zones[pool.zone]) {
       sum += i->count;
     }
   }
@@ -185,34 +186,34 @@
 
 std::string Provisioner::EncodeRequest(const ScaleOutRequest& intent) const {
   rapidjson::StringBuffer buffer;
-  JsonWriter w(buffer);
-  w.StartObject();
-  PutString(w, "r", intent.request_id);
-  PutString(w, "c", intent.type);
-  PutString(w, "z", intent.zone);
-  w.Key("sp");
-  w.Bool(intent.spot);
-  w.Key("n");
-  w.Int(intent.count);
-  w.EndObject();
+  JsonWriter writer(buffer);
+  writer.StartObject();
+  PutString(writer, "r", intent.request_id);
+  PutString(writer, "c", intent.type);
+  PutString(writer, "z", intent.zone);
+  writer.Key("sp");
+  writer.Bool(intent.spot);
+  writer.Key("n");
+  writer.Int(intent.count);
+  writer.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-void Provisioner::ScaleOut(uint32_t pool, int count, const std::string& why) {
+void Provisioner::ScaleOut(uint32_t pool_index, int count, const std::string& why) {
   if (count > kMaxScaleOutBatch) {
-    ScaleOut(pool, count - kMaxScaleOutBatch, why);
+    ScaleOut(pool_index, count - kMaxScaleOutBatch, why);
     count = kMaxScaleOutBatch;
   }
-  const MachinePool& p = pools_[pool];
+  const MachinePool& pool = pools_[pool_index];
   auto intent = std::make_unique<ScaleOutRequest>();
   // The term in the name: no other leader can ever use it again.
   intent->request_id = "r-" + std::to_string(term_) + "-" + std::to_string(next_request_number_++);
-  intent->type = job_store_->types[p.type];
-  intent->zone = job_store_->zones[p.zone];
-  intent->spot = p.spot;
+  intent->type = job_store_->types[pool.type];
+  intent->zone = job_store_->zones[pool.zone];
+  intent->spot = pool.spot;
   intent->count = count;
   spdlog::info("renting {} {}{} in {} ({}): {}", intent->count, intent->type,
-               p.spot ? " (spot)" : "", intent->zone, intent->request_id, why);
+               pool.spot ? " (spot)" : "", intent->zone, intent->request_id, why);
   const std::string text = EncodeRequest(*intent);
   intent->record_id = record_store_->Add(text, text.size(), WritePriority::kImmediate);
   requests_.push_back(std::move(intent));
@@ -221,25 +222,25 @@
 void Provisioner::SendScaleOut(ScaleOutRequest* intent) {
   intent->in_flight = true;
   cloud_->ScaleOut(intent->request_id, intent->type, intent->zone, intent->spot, intent->count,
-                   [this, request = intent->request_id](const ScaleOutResponse& a) {
-                     HandleScaleOutResponse(request, a);
+                   [this, request = intent->request_id](const ScaleOutResponse& response) {
+                     HandleScaleOutResponse(request, response);
                    });
 }
 
 void Provisioner::HandleScaleOutResponse(const std::string& request,
-                                         const ScaleOutResponse& answer) {
+                                         const ScaleOutResponse& response) {
   auto it = std::find_if(requests_.begin(), requests_.end(),
                          [&request](const auto& i) { return i->request_id == request; });
   if (it == requests_.end()) return;
   ScaleOutRequest& intent = **it;
   const double now = clock_->Now();
   intent.in_flight = false;
-  if (!answer.ok && !answer.out_of_capacity && !answer.malformed) {
+  if (!response.ok && !response.out_of_capacity && !response.malformed) {
     // Carried out or not: the same name asks again, and rents nothing twice.
     intent.retry_after = now + 1.0;
     return;
   }
-  const auto got = static_cast<int>(answer.machines.size());
+  const auto got = static_cast<int>(response.machines.size());
   if (MachinePool* pool = FindPool(intent.type, intent.zone, intent.spot)) {
     if (got < intent.count) {
       pool->backoff_s =
@@ -251,83 +252,83 @@
       pool->backoff_s = 0;
     }
   }
-  for (const std::string& name : answer.machines) {
-    MachineIndex mi = fleet_->Find(name);
-    if (mi == kNoIndex) mi = fleet_->Add(name);
-    Machine& m = (*fleet_)[mi];
-    if (m.type == kNoIndex) {
-      m.type = job_store_->types.Add(intent.type);
-      m.zone = job_store_->zones.Add(intent.zone);
-      m.spot = intent.spot;
-      m.provisioned_at_wall = clock_->Wall();
+  for (const std::string& name : response.machines) {
+    MachineIndex machine_index = fleet_->Find(name);
+    if (machine_index == kNoIndex) machine_index = fleet_->Add(name);
+    Machine& machine = (*fleet_)[machine_index];
+    if (machine.type == kNoIndex) {
+      machine.type = job_store_->types.Add(intent.type);
+      machine.zone = job_store_->zones.Add(intent.zone);
+      machine.spot = intent.spot;
+      machine.provisioned_at_wall = clock_->Wall();
     }
-    if (!m.may_run_former_attempts && !m.up) m.reconciled = true;
-    m.registered = true;
-    m.capacity_stale = true;
-    SaveMachine(mi, WritePriority::kImmediate);
+    if (!machine.may_run_former_attempts && !machine.up) machine.reconciled = true;
+    machine.registered = true;
+    machine.capacity_stale = true;
+    SaveMachine(machine_index, WritePriority::kImmediate);
   }
   record_store_->Remove(intent.record_id);
   requests_.erase(it);
   fleet_->placement_needed = true;
 }
 
-void Provisioner::SaveMachine(MachineIndex mi, WritePriority urgency) {
-  Machine& m = (*fleet_)[mi];
+void Provisioner::SaveMachine(MachineIndex machine_index, WritePriority priority) {
+  Machine& machine = (*fleet_)[machine_index];
   rapidjson::StringBuffer buffer;
-  JsonWriter w(buffer);
-  w.SetMaxDecimalPlaces(2);
-  w.StartObject();
-  PutString(w, "m", m.name);
-  PutString(w, "e", m.endpoint);
-  if (m.type != kNoIndex) PutString(w, "c", job_store_->types[m.type]);
-  if (m.zone != kNoIndex) PutString(w, "z", job_store_->zones[m.zone]);
-  w.Key("sp");
-  w.Bool(m.spot);
-  w.Key("w");
-  w.Double(m.provisioned_at_wall);
-  if (m.unrenewed_since_wall >= 0) {
-    w.Key("u");
-    w.Double(m.unrenewed_since_wall);
+  JsonWriter writer(buffer);
+  writer.SetMaxDecimalPlaces(2);
+  writer.StartObject();
+  PutString(writer, "m", machine.name);
+  PutString(writer, "e", machine.endpoint);
+  if (machine.type != kNoIndex) PutString(writer, "c", job_store_->types[machine.type]);
+  if (machine.zone != kNoIndex) PutString(writer, "z", job_store_->zones[machine.zone]);
+  writer.Key("sp");
+  writer.Bool(machine.spot);
+  writer.Key("w");
+  writer.Double(machine.provisioned_at_wall);
+  if (machine.unrenewed_since_wall >= 0) {
+    writer.Key("u");
+    writer.Double(machine.unrenewed_since_wall);
   }
-  w.EndObject();
+  writer.EndObject();
   std::string text(buffer.GetString(), buffer.GetSize());
-  const size_t reserve = MachineReserve(m, text);
-  if (m.record_id == kNoRecord) {
-    m.record_id = record_store_->Add(std::move(text), reserve, urgency);
+  const size_t reserve = MachineReserve(machine, text);
+  if (machine.record_id == kNoRecord) {
+    machine.record_id = record_store_->Add(std::move(text), reserve, priority);
   } else {
-    record_store_->Update(m.record_id, std::move(text), reserve, urgency);
+    record_store_->Update(machine.record_id, std::move(text), reserve, priority);
   }
 }
 
-MachineIndex Provisioner::AddUnexpectedMachine(const Heartbeat& r) {
-  const MachineIndex mi = fleet_->Add(r.machine);
-  Machine& m = (*fleet_)[mi];
-  m.type = job_store_->types.Add(r.type);
-  m.zone = job_store_->zones.Add(r.zone);
-  m.spot = r.spot;
-  m.endpoint = r.endpoint;
-  m.provisioned_at_wall = clock_->Wall();
-  spdlog::info("machine {} ({} in {}{}) reports and was not expected", r.machine, r.type, r.zone,
-               r.spot ? ", spot" : "");
-  return mi;
+MachineIndex Provisioner::AddUnexpectedMachine(const Heartbeat& heartbeat) {
+  const MachineIndex machine_index = fleet_->Add(heartbeat.machine);
+  Machine& machine = (*fleet_)[machine_index];
+  machine.type = job_store_->types.Add(heartbeat.type);
+  machine.zone = job_store_->zones.Add(heartbeat.zone);
+  machine.spot = heartbeat.spot;
+  machine.endpoint = heartbeat.endpoint;
+  machine.provisioned_at_wall = clock_->Wall();
+  spdlog::info("machine {} ({} in {}{}) reports and was not expected", heartbeat.machine,
+               heartbeat.type, heartbeat.zone, heartbeat.spot ? ", spot" : "");
+  return machine_index;
 }
 
-void Provisioner::ScaleIn(MachineIndex mi, const char* why) {
-  Machine& m = (*fleet_)[mi];
-  if (m.scaling_in || m.removed) return;
-  m.scaling_in = m.unschedulable = true;
+void Provisioner::ScaleIn(MachineIndex machine_index, const char* why) {
+  Machine& machine = (*fleet_)[machine_index];
+  if (machine.scaling_in || machine.removed) return;
+  machine.scaling_in = machine.unschedulable = true;
   next_scale_in_at_ = std::min(next_scale_in_at_, clock_->Now());
-  spdlog::info("returning machine {}: {}", m.name, why);
+  spdlog::info("returning machine {}: {}", machine.name, why);
 }
 
 void Provisioner::SendScaleIn() {
   std::vector<std::string> names;
   std::vector<MachineIndex> which;
   for (MachineIndex i : fleet_->active()) {
-    const Machine& m = (*fleet_)[i];
+    const Machine& machine = (*fleet_)[i];
     if (names.size() >= kMaxScaleInBatch) break;
-    if (!m.scaling_in) continue;
-    names.push_back(m.name);
+    if (!machine.scaling_in) continue;
+    names.push_back(machine.name);
     which.push_back(i);
   }
   if (names.empty()) return;
@@ -338,10 +339,10 @@
     next_scale_in_at_ = clock_->Now() + (ok && which.size() == kMaxScaleInBatch ? 0.05 : 0.5);
     if (!ok) return;
     for (MachineIndex i : which) {
-      Machine& m = (*fleet_)[i];
+      Machine& machine = (*fleet_)[i];
       fleet_->RemoveMachine(i, "returned");
-      if (m.record_id != kNoRecord) record_store_->Remove(m.record_id);
-      m.record_id = kNoRecord;
+      if (machine.record_id != kNoRecord) record_store_->Remove(machine.record_id);
+      machine.record_id = kNoRecord;
     }
   });
 }
@@ -382,12 +383,12 @@
 
 void Provisioner::ApplyInstanceList(const std::vector<CloudInstance>& rows) {
   for (const CloudInstance& row : rows) {
-    MachineIndex mi = fleet_->Find(row.name);
-    if (mi == kNoIndex) {
+    MachineIndex machine_index = fleet_->Find(row.name);
+    if (machine_index == kNoIndex) {
       if (row.state == InstanceState::kFailed) {
-        mi = fleet_->Add(row.name);
-        (*fleet_)[mi].reconciled = true;
-        ScaleIn(mi, "failed, and not known here");
+        machine_index = fleet_->Add(row.name);
+        (*fleet_)[machine_index].reconciled = true;
+        ScaleIn(machine_index, "failed, and not known here");
         continue;
       }
       // A rental whose answer is still on its way names it soon; but on a large
@@ -396,26 +397,26 @@
       // The list may be older than this term: a machine that the former leader
       // returned is still on it. One that is there reports anyway.
       if (clock_->Now() - started_at_ < options_.list_lag_s * 2 + 1) continue;
-      mi = fleet_->Add(row.name);
-      Machine& m = (*fleet_)[mi];
-      m.type = job_store_->types.Add(row.type);
-      m.zone = job_store_->zones.Add(row.zone);
-      m.spot = row.spot;
-      m.provisioned_at_wall = clock_->Wall() - row.age_s;
-      m.endpoint = "";
-      m.registered = true;
-      SaveMachine(mi, WritePriority::kBackground);
+      machine_index = fleet_->Add(row.name);
+      Machine& machine = (*fleet_)[machine_index];
+      machine.type = job_store_->types.Add(row.type);
+      machine.zone = job_store_->zones.Add(row.zone);
+      machine.spot = row.spot;
+      machine.provisioned_at_wall = clock_->Wall() - row.age_s;
+      machine.endpoint = "";
+      machine.registered = true;
+      SaveMachine(machine_index, WritePriority::kBackground);
       spdlog::info("machine {} ({} in {}) is listed and was not expected: used", row.name, row.type,
                    row.zone);
       continue;
     }
-    Machine& m = (*fleet_)[mi];
-    if (m.removed || m.scaling_in) continue;
-    m.registered = true;
+    Machine& machine = (*fleet_)[machine_index];
+    if (machine.removed || machine.scaling_in) continue;
+    machine.registered = true;
     if (row.state == InstanceState::kFailed) {
-      fleet_->ReleaseAttempts(mi, "the machine failed");
-      fleet_->MarkReconciled(mi);
-      ScaleIn(mi, "failed");
+      fleet_->ReleaseAttempts(machine_index, "the machine failed");
+      fleet_->MarkReconciled(machine_index);
+      ScaleIn(machine_index, "failed");
     }
   }
 }
--- a/src/cloud/provisioner.h
+++ b/src/cloud/provisioner.h
@@ -33,7 +33,7 @@
               const Clock* clock, uint64_t term, ProvisionerOptions options);
 
   // Reads one row if it is one of ours.
-  bool LoadRecord(RecordId row, const std::string& text);
+  bool LoadRecord(RecordId record_id, const std::string& text);
   // What was rented for an earlier leader is asked for once more, by name.
   void Start();
   void Tick(bool trusted);
@@ -44,15 +44,15 @@
   // Index in types() by the book's name index; kNone if not offered.
   const MachineType* TypeOf(uint32_t type) const;
   // Machines asked for and not named yet.
-  int PendingMachines(uint32_t pool) const;
+  int PendingMachines(uint32_t pool_index) const;
   bool HasPendingRequests() const { return !requests_.empty(); }
 
-  void ScaleOut(uint32_t pool, int count, const std::string& why);
-  void ScaleIn(MachineIndex m, const char* why);
+  void ScaleOut(uint32_t pool_index, int count, const std::string& why);
+  void ScaleIn(MachineIndex machine_index, const char* why);
   // A machine reported that nobody knows.
-  MachineIndex AddUnexpectedMachine(const Heartbeat& report);
+  MachineIndex AddUnexpectedMachine(const Heartbeat& heartbeat);
   // Keeps what is known of a machine; false until that is durable.
-  void SaveMachine(MachineIndex m, WritePriority urgency);
+  void SaveMachine(MachineIndex machine_index, WritePriority priority);
 
  private:
   struct ScaleOutRequest {
@@ -70,7 +70,7 @@
   void SetTypes(std::vector<MachineType> types);
   std::string EncodeRequest(const ScaleOutRequest& intent) const;
   void SendScaleOut(ScaleOutRequest* intent);
-  void HandleScaleOutResponse(const std::string& request, const ScaleOutResponse& answer);
+  void HandleScaleOutResponse(const std::string& request, const ScaleOutResponse& response);
   void SendScaleIn();
   void RefreshTypes();
   void RefreshInstances(const std::string& after);
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -47,35 +47,35 @@
 
 // Sockets are shared out: most for whoever connects to us, some kept open to
 // workers, the rest for the state service, the cloud and the other controllers.
-inline int WorkerConnections(const Settings& s) { return s.max_sockets * 3 / 10; }
-inline int ServedConnections(const Settings& s) {
-  return std::max(40, s.max_sockets - WorkerConnections(s) - 120);
+inline int WorkerConnections(const Settings& settings) { return settings.max_sockets * 3 / 10; }
+inline int ServedConnections(const Settings& settings) {
+  return std::max(40, settings.max_sockets - WorkerConnections(settings) - 120);
 }
 // Half of the controllers, rounded up, are to hold every worker. Should fewer be up, a full
 // table drops the connection idle longest, and workers come again with their next report.
-inline int MaxMachines(const Settings& s) {
-  const int controllers = static_cast<int>(s.siblings.size()) + 1;
-  return ServedConnections(s) * ((controllers + 1) / 2);
+inline int MaxMachines(const Settings& settings) {
+  const int controllers = static_cast<int>(settings.siblings.size()) + 1;
+  return ServedConnections(settings) * ((controllers + 1) / 2);
 }
 
 // Unfinished jobs and their tasks may take a quarter of the memory each; so much is one
 // of them with its row, and so much a task, waiting or placed.
 constexpr double kBytesPerJob = 2048;
 constexpr double kBytesPerTask = 64;
-inline size_t MaxActiveJobs(const Settings& s) {
-  return static_cast<size_t>(s.quota_memory_mb * 1e6 / 4 / kBytesPerJob);
+inline size_t MaxActiveJobs(const Settings& settings) {
+  return static_cast<size_t>(settings.quota_memory_mb * 1e6 / 4 / kBytesPerJob);
 }
-inline size_t MaxActiveTasks(const Settings& s) {
-  return static_cast<size_t>(s.quota_memory_mb * 1e6 / 4 / kBytesPerTask);
+inline size_t MaxActiveTasks(const Settings& settings) {
+  return static_cast<size_t>(settings.quota_memory_mb * 1e6 / 4 / kBytesPerTask);
 }
 // Users who wait for an answer each hold a connection to some controller.
-inline size_t MaxPendingResponses(const Settings& s) {
-  return static_cast<size_t>(ServedConnections(s)) * (s.siblings.size() + 1);
+inline size_t MaxPendingResponses(const Settings& settings) {
+  return static_cast<size_t>(ServedConnections(settings)) * (settings.siblings.size() + 1);
 }
 
 // Each asker holds a connection here; as many come from a node that can't reach the leader.
-inline size_t MaxForwardedRequests(const Settings& s) {
-  return static_cast<size_t>(ServedConnections(s)) * 2;
+inline size_t MaxForwardedRequests(const Settings& settings) {
+  return static_cast<size_t>(ServedConnections(settings)) * 2;
 }
 
 // Returns the reason why the text is no settings file, or an empty string.
--- a/src/config/tuning.cc
+++ b/src/config/tuning.cc
@@ -9,16 +9,16 @@
 
 std::string SetField(const std::string& section, const SExpression& entry, Tuning* out) {
   const std::string name = entry.Name();
-  for (const TuningField& f : TuningFields()) {
-    if (section != f.section || name != f.name) continue;
+  for (const TuningField& field : TuningFields()) {
+    if (section != field.section || name != field.name) continue;
     const std::optional<double> value = ParseNumber(entry.Atom(1));
-    if (!value || *value < f.least || *value > f.most) {
+    if (!value || *value < field.least || *value > field.most) {
       std::string reason = section;
       reason.append(" ").append(name).append(": not a number from ");
-      reason.append(std::to_string(f.least)).append(" to ").append(std::to_string(f.most));
+      reason.append(std::to_string(field.least)).append(" to ").append(std::to_string(field.most));
       return reason;
     }
-    out->*(f.member) = *value;
+    out->*(field.member) = *value;
     return "";
   }
   return "";  // unknown: ignored, as in the platform's file
--- a/src/drain/disruption_ledger.cc
+++ b/src/drain/disruption_ledger.cc
@@ -49,9 +49,9 @@
   for (auto& [key, times] : stops) {
     if (!times.empty()) accounts_[AccountFor(key.first, key.second)].stops = std::move(times);
   }
-  for (JobIndex j : job_store_->active_jobs()) {
-    auto before = known.find(j);
-    AddJob(j, first || (before != known.end() && before->second.may_have_run));
+  for (JobIndex job_index : job_store_->active_jobs()) {
+    auto before = known.find(job_index);
+    AddJob(job_index, first || (before != known.end() && before->second.may_have_run));
   }
   for (const auto& [j, task] : ran) {
     auto it = jobs_.find(j);
@@ -79,9 +79,9 @@
   return out;
 }
 
-void DisruptionLedger::AddJob(JobIndex j, bool may_have_run) {
-  const Job& job = (*job_store_)[j];
-  if (!job.has_spec || job.lifecycle != JobLifecycle::kActive || jobs_.contains(j)) return;
+void DisruptionLedger::AddJob(JobIndex job_index, bool may_have_run) {
+  const Job& job = (*job_store_)[job_index];
+  if (!job.has_spec || job.lifecycle != JobLifecycle::kActive || jobs_.contains(job_index)) return;
   CountedJob known;
   known.accounts = AccountsOf(job);
   if (job.spec.service) {
@@ -89,15 +89,15 @@
     known.replica_count = static_cast<uint32_t>(job.tasks.size());
     known.may_have_run = may_have_run;
     next_replica_ += known.replica_count;
-    job_by_first_replica_[known.first_replica] = j;
+    job_by_first_replica_[known.first_replica] = job_index;
     changed_.addRange(known.first_replica,
                       static_cast<uint64_t>(known.first_replica) + known.replica_count);
   }
-  jobs_[j] = std::move(known);
+  jobs_[job_index] = std::move(known);
 }
 
-void DisruptionLedger::RemoveJob(JobIndex j) {
-  auto it = jobs_.find(j);
+void DisruptionLedger::RemoveJob(JobIndex job_index) {
+  auto it = jobs_.find(job_index);
   if (it == jobs_.end()) return;
   const CountedJob& known = it->second;
   for (uint32_t n = known.first_replica; n < known.first_replica + known.replica_count; ++n) {
@@ -113,49 +113,51 @@
   jobs_.erase(it);
 }
 
-void DisruptionLedger::JobChanged(JobIndex j) {
+void DisruptionLedger::JobChanged(JobIndex job_index) {
   if (!active()) return;
-  if ((*job_store_)[j].lifecycle == JobLifecycle::kActive) {
-    AddJob(j, false);
+  if ((*job_store_)[job_index].lifecycle == JobLifecycle::kActive) {
+    AddJob(job_index, false);
   } else {
-    RemoveJob(j);
+    RemoveJob(job_index);
   }
 }
 
-void DisruptionLedger::ReplicaChanged(JobIndex j, uint32_t task) {
+void DisruptionLedger::ReplicaChanged(JobIndex job_index, uint32_t task_index) {
   if (!active()) return;
-  auto it = jobs_.find(j);
-  if (it != jobs_.end() && task < it->second.replica_count)
-    changed_.add(it->second.first_replica + task);
+  auto it = jobs_.find(job_index);
+  if (it != jobs_.end() && task_index < it->second.replica_count)
+    changed_.add(it->second.first_replica + task_index);
 }
 
-void DisruptionLedger::ArrayTaskStopped(JobIndex j) {
+void DisruptionLedger::ArrayTaskStopped(JobIndex job_index) {
   if (!active()) return;
-  auto it = jobs_.find(j);
+  auto it = jobs_.find(job_index);
   if (it == jobs_.end()) return;
   for (size_t a : it->second.accounts) {
     if (accounts_[a].stopped) accounts_[a].stops.push_back(clock_->Now());
   }
 }
 
-bool DisruptionLedger::IsInDoubt(const Machine& m) const {
-  return !m.reconciled || m.partitioned || m.scaling_in || m.preemption_at >= 0 ||
-         m.unreachable_count > 0 || m.probe_failures > 0 || m.unreachable_since >= 0 ||
-         clock_->Now() - m.last_heard_at > overdue_s_;
+bool DisruptionLedger::IsInDoubt(const Machine& machine) const {
+  return !machine.reconciled || machine.partitioned || machine.scaling_in ||
+         machine.preemption_at >= 0 || machine.unreachable_count > 0 ||
+         machine.probe_failures > 0 || machine.unreachable_since >= 0 ||
+         clock_->Now() - machine.last_heard_at > overdue_s_;
 }
 
 void DisruptionLedger::RefreshDoubts() {
-  for (MachineIndex mi : fleet_->active()) {
-    const Machine& m = (*fleet_)[mi];
-    const bool doubt = m.service_cores > 0 && IsInDoubt(m);
-    if (doubt == doubtful_.contains(mi)) continue;
+  for (MachineIndex machine_index : fleet_->active()) {
+    const Machine& machine = (*fleet_)[machine_index];
+    const bool doubt = machine.service_cores > 0 && IsInDoubt(machine);
+    if (doubt == doubtful_.contains(machine_index)) continue;
     if (doubt) {
-      doubtful_.add(mi);
+      doubtful_.add(machine_index);
     } else {
-      doubtful_.remove(mi);
+      doubtful_.remove(machine_index);
     }
-    for (const TaskAttempt& s : m.attempts) {
-      if (s.service && s.job != kNoIndex) ReplicaChanged(s.job, s.task_index);
+    for (const TaskAttempt& attempt : machine.attempts) {
+      if (attempt.service && attempt.job != kNoIndex)
+        ReplicaChanged(attempt.job, attempt.task_index);
     }
   }
 }
@@ -231,18 +233,18 @@
   return {};
 }
 
-BlockedState DisruptionLedger::BlockedFromEvicting(JobIndex j) const {
+BlockedState DisruptionLedger::BlockedFromEvicting(JobIndex job_index) const {
   if (!active()) return {};
   if (!confirmed_) return {BlockedReason::kPolicyNotRead, ""};
-  auto it = jobs_.find(j);
+  auto it = jobs_.find(job_index);
   if (it == jobs_.end()) return {};
   return BudgetShortfall(it->second, 1);
 }
 
-BlockedState DisruptionLedger::BudgetViolation(JobIndex j) const {
+BlockedState DisruptionLedger::BudgetViolation(JobIndex job_index) const {
   if (!active()) return {};
   if (!confirmed_) return {BlockedReason::kPolicyNotRead, ""};
-  auto it = jobs_.find(j);
+  auto it = jobs_.find(job_index);
   if (it == jobs_.end()) return {};
   return BudgetShortfall(it->second, 0);
 }
@@ -257,8 +259,8 @@
   if (!active()) return {};
   if (!confirmed_) return {BlockedReason::kPolicyNotRead, ""};
   std::map<size_t, size_t> more;
-  for (JobIndex j : tasks) {
-    auto it = jobs_.find(j);
+  for (JobIndex job_index : tasks) {
+    auto it = jobs_.find(job_index);
     if (it == jobs_.end()) continue;
     for (size_t a : it->second.accounts) ++more[a];
   }
@@ -274,28 +276,28 @@
   return {};
 }
 
-void DisruptionLedger::ReserveDisruption(JobIndex j, uint32_t task) {
-  auto it = jobs_.find(j);
-  if (it == jobs_.end() || task >= it->second.replica_count) return;
-  held_.add(it->second.first_replica + task);
-  UpdateReplica(it->second.first_replica + task);
+void DisruptionLedger::ReserveDisruption(JobIndex job_index, uint32_t task_index) {
+  auto it = jobs_.find(job_index);
+  if (it == jobs_.end() || task_index >= it->second.replica_count) return;
+  held_.add(it->second.first_replica + task_index);
+  UpdateReplica(it->second.first_replica + task_index);
 }
 
-void DisruptionLedger::ReleaseDisruption(JobIndex j, uint32_t task) {
-  auto it = jobs_.find(j);
-  if (it == jobs_.end() || task >= it->second.replica_count) return;
-  held_.remove(it->second.first_replica + task);
-  UpdateReplica(it->second.first_replica + task);
+void DisruptionLedger::ReleaseDisruption(JobIndex job_index, uint32_t task_index) {
+  auto it = jobs_.find(job_index);
+  if (it == jobs_.end() || task_index >= it->second.replica_count) return;
+  held_.remove(it->second.first_replica + task_index);
+  UpdateReplica(it->second.first_replica + task_index);
 }
 
-bool DisruptionLedger::IsAvailable(JobIndex j, uint32_t task) const {
-  auto it = jobs_.find(j);
-  return it != jobs_.end() && task < it->second.replica_count &&
-         available_.contains(it->second.first_replica + task);
+bool DisruptionLedger::IsAvailable(JobIndex job_index, uint32_t task_index) const {
+  auto it = jobs_.find(job_index);
+  return it != jobs_.end() && task_index < it->second.replica_count &&
+         available_.contains(it->second.first_replica + task_index);
 }
 
-uint64_t DisruptionLedger::CountAvailable(JobIndex j) const {
-  auto it = jobs_.find(j);
+uint64_t DisruptionLedger::CountAvailable(JobIndex job_index) const {
+  auto it = jobs_.find(job_index);
   if (it == jobs_.end() || it->second.replica_count == 0) return 0;
   const uint32_t first = it->second.first_replica;
   const uint64_t before = first == 0 ? 0 : available_.rank(first - 1);
--- a/src/drain/disruption_ledger.h
+++ b/src/drain/disruption_ledger.h
@@ -35,24 +35,24 @@
   void Refresh();
 
   // Whether one more available replica of the job may go down now.
-  BlockedState BlockedFromEvicting(JobIndex j) const;
+  BlockedState BlockedFromEvicting(JobIndex job_index) const;
   // Whether what is down, chosen replicas included, is within the budgets of the job.
-  BlockedState BudgetViolation(JobIndex j) const;
+  BlockedState BudgetViolation(JobIndex job_index) const;
   // Whether these tasks of arrays, one entry each, may be stopped now.
   BlockedState BlockedFromStopping(const std::vector<JobIndex>& tasks) const;
   // A replica was chosen to be stopped: it counts as down from now on. Released when it was
   // told to stop, or is not stopped after all.
-  void ReserveDisruption(JobIndex j, uint32_t task);
-  void ReleaseDisruption(JobIndex j, uint32_t task);
-  bool IsAvailable(JobIndex j, uint32_t task) const;
+  void ReserveDisruption(JobIndex job_index, uint32_t task_index);
+  void ReleaseDisruption(JobIndex job_index, uint32_t task_index);
+  bool IsAvailable(JobIndex job_index, uint32_t task_index) const;
   // Replicas of the job that are available.
-  uint64_t CountAvailable(JobIndex j) const;
+  uint64_t CountAvailable(JobIndex job_index) const;
   // Replicas of the team that are not available, as counted; for reports and tests.
   uint64_t CountUnavailable(const std::string& team) const;
 
-  void ReplicaChanged(JobIndex j, uint32_t task) override;
-  void ArrayTaskStopped(JobIndex j) override;
-  void JobChanged(JobIndex j) override;
+  void ReplicaChanged(JobIndex job_index, uint32_t task_index) override;
+  void ArrayTaskStopped(JobIndex job_index) override;
+  void JobChanged(JobIndex job_index) override;
 
   // Replicas and machines looked at so far, to bound the work as the fleet grows.
   uint64_t work_units() const { return work_units_; }
@@ -83,10 +83,10 @@
   void Rebuild(bool first);
   std::vector<size_t> AccountsOf(const Job& job);
   size_t AccountFor(const std::string& team, const std::string& job_class);
-  void AddJob(JobIndex j, bool may_have_run);
-  void RemoveJob(JobIndex j);
+  void AddJob(JobIndex job_index, bool may_have_run);
+  void RemoveJob(JobIndex job_index);
   void RefreshDoubts();
-  bool IsInDoubt(const Machine& m) const;
+  bool IsInDoubt(const Machine& machine) const;
   Replica ReplicaOf(uint32_t number) const;
   void UpdateReplica(uint32_t number);
   BlockedState BudgetShortfall(const CountedJob& job, uint64_t more) const;
--- a/src/drain/drain_members.cc
+++ b/src/drain/drain_members.cc
@@ -16,9 +16,9 @@
       policy_ != nullptr &&
       std::any_of(policy_->drains.begin(), policy_->drains.end(),
                   [](const DrainRequest& drain) { return drain.machines.network.has_value(); });
-  for (MachineIndex mi : fleet_->active()) {
-    Machine& m = (*fleet_)[mi];
-    m.cordoned = m.scale_in_when_empty = false;
+  for (MachineIndex machine_index : fleet_->active()) {
+    Machine& machine = (*fleet_)[machine_index];
+    machine.cordoned = machine.scale_in_when_empty = false;
   }
   Sync();
   fleet_->placement_needed = true;
@@ -43,26 +43,27 @@
   return drain.machines.everything || all_pools_closed_;
 }
 
-bool DrainMembers::IsIdentified(const Machine& m) const {
-  return m.type != kNoIndex && m.zone != kNoIndex && (!selects_by_network_ || !m.endpoint.empty());
+bool DrainMembers::IsIdentified(const Machine& machine) const {
+  return machine.type != kNoIndex && machine.zone != kNoIndex &&
+         (!selects_by_network_ || !machine.endpoint.empty());
 }
 
-bool DrainMembers::Add(MachineIndex mi) {
-  Machine& m = (*fleet_)[mi];
-  if (m.removed) return false;
+bool DrainMembers::Add(MachineIndex machine_index) {
+  Machine& machine = (*fleet_)[machine_index];
+  if (machine.removed) return false;
   bool added = false;
   for (size_t d = 0; d < members_.size(); ++d) {
     const DrainRequest& drain = policy_->drains[d];
-    if (!drain.machines.Matches(m.name, job_store_->types[m.type], job_store_->zones[m.zone],
-                                m.endpoint)) {
+    if (!drain.machines.Matches(machine.name, job_store_->types[machine.type],
+                                job_store_->zones[machine.zone], machine.endpoint)) {
       continue;
     }
-    if (ReplacesOnly(drain) && m.provisioned_at_wall > since_wall_[d]) continue;
-    members_[d].add(mi);
-    m.cordoned = true;
+    if (ReplacesOnly(drain) && machine.provisioned_at_wall > since_wall_[d]) continue;
+    members_[d].add(machine_index);
+    machine.cordoned = true;
     // Room that a drain needs is emptied by the drain alone.
-    if (m.consolidating) m.consolidating = m.unschedulable = false;
-    if (!drain.paused) m.scale_in_when_empty = true;
+    if (machine.consolidating) machine.consolidating = machine.unschedulable = false;
+    if (!drain.paused) machine.scale_in_when_empty = true;
     added = true;
   }
   return added;
@@ -74,14 +75,14 @@
   if (pool_count_ != provisioner_->pools().size()) ApplyPolicy(policy_, since_wall_);
   bool added = false;
   const Roaring unknown = std::exchange(unidentified_, Roaring());
-  auto look = [this, &added](MachineIndex mi) {
-    if (IsIdentified((*fleet_)[mi])) {
-      added = Add(mi) || added;
-    } else if (!(*fleet_)[mi].removed) {
-      unidentified_.add(mi);
+  auto look = [this, &added](MachineIndex machine_index) {
+    if (IsIdentified((*fleet_)[machine_index])) {
+      added = Add(machine_index) || added;
+    } else if (!(*fleet_)[machine_index].removed) {
+      unidentified_.add(machine_index);
     }
   };
-  for (MachineIndex mi : unknown) look(mi);
+  for (MachineIndex machine_index : unknown) look(machine_index);
   for (; next_unexamined_ < fleet_->size(); ++next_unexamined_) look(next_unexamined_);
   return added;
 }
--- a/src/drain/drain_members.h
+++ b/src/drain/drain_members.h
@@ -25,7 +25,7 @@
   // Machines of a drain, by its place in the policy; those that are gone stay among them until
   // they are removed.
   const Roaring& MachinesOf(size_t drain) const { return members_[drain]; }
-  void Remove(size_t drain, MachineIndex m) { members_[drain].remove(m); }
+  void Remove(size_t drain, MachineIndex machine_index) { members_[drain].remove(machine_index); }
   // Whether a drain wants such machines gone, so that none is to be rented. Drains never close
   // all that can be rented: then those that would are about the machines that were there when
   // they began, and new ones replace those.
@@ -35,8 +35,8 @@
   // Whether the drain is about the machines that were there when it began.
   bool ReplacesOnly(const DrainRequest& drain) const;
   void CountPools();
-  bool IsIdentified(const Machine& m) const;
-  bool Add(MachineIndex m);
+  bool IsIdentified(const Machine& machine) const;
+  bool Add(MachineIndex machine_index);
 
   JobStore* job_store_;
   Fleet* fleet_;
--- a/src/drain/drain_records.cc
+++ b/src/drain/drain_records.cc
@@ -7,14 +7,14 @@
 
 constexpr size_t kLongestWhy = 200;
 
-void PutNumber(JsonWriter& w, const char* name, double value) {
-  w.Key(name);
-  w.Double(value);
+void PutNumber(JsonWriter& writer, const char* name, double value) {
+  writer.Key(name);
+  writer.Double(value);
 }
 
-void PutCount(JsonWriter& w, const char* name, uint64_t value) {
-  w.Key(name);
-  w.Uint64(value);
+void PutCount(JsonWriter& writer, const char* name, uint64_t value) {
+  writer.Key(name);
+  writer.Uint64(value);
 }
 
 }  // namespace
@@ -31,38 +31,38 @@
   return "active";
 }
 
-std::string EncodeProgress(const DrainProgress& p) {
+std::string EncodeProgress(const DrainProgress& progress) {
   rapidjson::StringBuffer buffer;
-  JsonWriter w(buffer);
-  w.SetMaxDecimalPlaces(2);
-  w.StartObject();
-  PutString(w, "drain", p.drain);
-  PutString(w, "state", DrainStateName(p.state));
-  PutNumber(w, "since", p.since_wall);
-  PutCount(w, "machines_done", p.machines_done);
-  PutCount(w, "machines_left", p.machines_left);
-  PutCount(w, "replicas_moved", p.replicas_moved);
-  PutCount(w, "replicas_moving", p.replicas_moving);
-  PutCount(w, "tasks_stopped", p.tasks_stopped);
-  PutCount(w, "given_up", p.steps_given_up);
-  PutString(w, "why", std::string_view(p.why).substr(0, kLongestWhy));
-  PutNumber(w, "waiting_since", p.waiting_since_wall);
-  w.EndObject();
+  JsonWriter writer(buffer);
+  writer.SetMaxDecimalPlaces(2);
+  writer.StartObject();
+  PutString(writer, "drain", progress.drain);
+  PutString(writer, "state", DrainStateName(progress.state));
+  PutNumber(writer, "since", progress.since_wall);
+  PutCount(writer, "machines_done", progress.machines_done);
+  PutCount(writer, "machines_left", progress.machines_left);
+  PutCount(writer, "replicas_moved", progress.replicas_moved);
+  PutCount(writer, "replicas_moving", progress.replicas_moving);
+  PutCount(writer, "tasks_stopped", progress.tasks_stopped);
+  PutCount(writer, "given_up", progress.steps_given_up);
+  PutString(writer, "why", std::string_view(progress.why).substr(0, kLongestWhy));
+  PutNumber(writer, "waiting_since", progress.waiting_since_wall);
+  writer.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
 }
 
 std::string EncodeEviction(const EvictionRecord& s) {
   rapidjson::StringBuffer buffer;
-  JsonWriter w(buffer);
-  w.SetMaxDecimalPlaces(2);
-  w.StartObject();
-  PutString(w, "drain_step", s.drain);
-  PutString(w, "job", s.job);
-  PutCount(w, "task", s.task);
-  PutString(w, "machine", s.machine);
-  PutCount(w, "attempt", s.attempt);
-  PutNumber(w, "since", s.since_wall);
-  w.EndObject();
+  JsonWriter writer(buffer);
+  writer.SetMaxDecimalPlaces(2);
+  writer.StartObject();
+  PutString(writer, "drain_step", s.drain);
+  PutString(writer, "job", s.job);
+  PutCount(writer, "task", s.task);
+  PutString(writer, "machine", s.machine);
+  PutCount(writer, "attempt", s.attempt);
+  PutNumber(writer, "since", s.since_wall);
+  writer.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
 }
 
--- a/src/drain/eviction_controller.cc
+++ b/src/drain/eviction_controller.cc
@@ -30,15 +30,15 @@
       eviction_tracker_(ports.job_store, ports.fleet, ports.record_store, ports.clock),
       places_(ports.job_store, ports.free_capacity, ports.clock) {}
 
-bool EvictionController::LoadRecord(RecordId row, const std::string& text) {
+bool EvictionController::LoadRecord(RecordId record_id, const std::string& text) {
   DrainProgress progress;
   if (DecodeProgress(text, &progress)) {
-    record_store_->Reserve(row, kProgressBytes);
+    record_store_->Reserve(record_id, kProgressBytes);
     const std::string name = progress.drain;
-    loaded_[name] = {row, std::move(progress)};
+    loaded_[name] = {record_id, std::move(progress)};
     return true;
   }
-  return eviction_tracker_.LoadRecord(row, text);
+  return eviction_tracker_.LoadRecord(record_id, text);
 }
 
 void EvictionController::FinishLoad() { eviction_tracker_.FinishLoad(); }
@@ -101,7 +101,7 @@
   }
   StartEvictions();
   double ahead = 0;
-  for (JobIndex j : jobs_needing_room_) ahead += (*job_store_)[j].spec.cores;
+  for (JobIndex job_index : jobs_needing_room_) ahead += (*job_store_)[job_index].spec.cores;
   free_capacity_->SetPlannedCores(ahead);
   for (Drain& drain : drains_) RefreshDrain(&drain);
   if (clock_->Now() < next_write_) return;
@@ -143,8 +143,8 @@
       drain->queue.push_back(mi);
     }
   }
-  for (MachineIndex mi : gone) {
-    members_.Remove(index, mi);
+  for (MachineIndex machine_index : gone) {
+    members_.Remove(index, machine_index);
     ++drain->progress.machines_done;
     drain->last_progress_at = clock_->Now();
   }
@@ -185,10 +185,10 @@
       *looks = 0;
       return false;
     }
-    const MachineIndex mi = drain->queue[drain->cursor];
+    const MachineIndex machine_index = drain->queue[drain->cursor];
     ++examined_;
     --*looks;
-    if (!Examine(drain, mi)) {
+    if (!Examine(drain, machine_index)) {
       ++drain->cursor;
       continue;
     }
@@ -199,9 +199,9 @@
   return false;
 }
 
-bool EvictionController::Examine(Drain* drain, MachineIndex mi) {
-  const Machine& m = (*fleet_)[mi];
-  if (m.removed) return false;
+bool EvictionController::Examine(Drain* drain, MachineIndex machine_index) {
+  const Machine& machine = (*fleet_)[machine_index];
+  if (machine.removed) return false;
   if (drain->order->paused) {
     drain->blocked = {BlockedReason::kPaused, ""};
     return false;
@@ -210,130 +210,138 @@
     drain->blocked = {BlockedReason::kPolicyNotRead, ""};
     return false;
   }
-  if (m.attempts.empty()) {
+  if (machine.attempts.empty()) {
     drain->blocked = {BlockedReason::kReturning, ""};
     return false;
   }
-  drain->blocked = {BlockedReason::kStopping, m.name};
+  drain->blocked = {BlockedReason::kStopping, machine.name};
   // The books of the machine may grow while it is looked at, but nothing is taken out.
-  for (size_t i = 0; i < (*fleet_)[mi].attempts.size(); ++i) {
+  for (size_t i = 0; i < (*fleet_)[machine_index].attempts.size(); ++i) {
     ++examined_;
-    TaskAttempt& slot = (*fleet_)[mi].attempts[i];
-    if (slot.released || !slot.wanted || slot.job == kNoIndex) continue;
-    const bool begun =
-        slot.service ? ExamineReplica(drain, mi, slot) : ExamineArrayTask(drain, mi, &slot);
+    TaskAttempt& attempt = (*fleet_)[machine_index].attempts[i];
+    if (attempt.released || !attempt.wanted || attempt.job == kNoIndex) continue;
+    const bool begun = attempt.service ? ExamineReplica(drain, machine_index, attempt)
+                                       : ExamineArrayTask(drain, machine_index, &attempt);
     if (begun) return true;
   }
   return false;
 }
 
-BlockedState EvictionController::BlockedFromMoving(MachineIndex mi, const TaskAttempt& slot) const {
-  const Job& job = (*job_store_)[slot.job];
+BlockedState EvictionController::BlockedFromMoving(MachineIndex machine_index,
+                                                   const TaskAttempt& attempt) const {
+  const Job& job = (*job_store_)[attempt.job];
   if (eviction_tracker_.evictions().size() >= policy_->times.max_evictions) {
     return {BlockedReason::kStepsAtOnce, ""};
   }
   if (job.tasks_unreconciled > 0) return {BlockedReason::kTakingOver, job.id};
-  if (slot.state != TaskState::kRunning) return {BlockedReason::kReplicaStarting, slot.task_name};
-  if ((*fleet_)[mi].unreachable_count > 0 || (*fleet_)[mi].probe_failures > 0) {
-    return {BlockedReason::kMachineSilent, (*fleet_)[mi].name};
+  if (attempt.state != TaskState::kRunning)
+    return {BlockedReason::kReplicaStarting, attempt.task_name};
+  if ((*fleet_)[machine_index].unreachable_count > 0 ||
+      (*fleet_)[machine_index].probe_failures > 0) {
+    return {BlockedReason::kMachineSilent, (*fleet_)[machine_index].name};
   }
-  if (!ledger_->IsAvailable(slot.job, slot.task_index))
-    return {BlockedReason::kReplicaStarting, slot.task_name};
-  const uint64_t up = ledger_->CountAvailable(slot.job);
-  auto pause = backoffs_.find(slot.job);
+  if (!ledger_->IsAvailable(attempt.job, attempt.task_index))
+    return {BlockedReason::kReplicaStarting, attempt.task_name};
+  const uint64_t up = ledger_->CountAvailable(attempt.job);
+  auto pause = backoffs_.find(attempt.job);
   if (pause != backoffs_.end() && (up < job.tasks.size() || clock_->Now() < pause->second.until)) {
     return {BlockedReason::kReplacementLate, job.id};
   }
   if (job.tasks.size() > 1 && up < 2) return {BlockedReason::kLastReplica, job.id};
-  return ledger_->BlockedFromEvicting(slot.job);
+  return ledger_->BlockedFromEvicting(attempt.job);
 }
 
-bool EvictionController::ExamineReplica(Drain* drain, MachineIndex mi, const TaskAttempt& slot) {
-  if (slot.state != TaskState::kRunning) MoveStuckReplica(mi, slot);
-  if (eviction_tracker_.IsEvicting(slot.job, slot.task_index)) return false;
-  BlockedState wait = BlockedFromMoving(mi, slot);
+bool EvictionController::ExamineReplica(Drain* drain, MachineIndex machine_index,
+                                        const TaskAttempt& attempt) {
+  if (attempt.state != TaskState::kRunning) MoveStuckReplica(machine_index, attempt);
+  if (eviction_tracker_.IsEvicting(attempt.job, attempt.task_index)) return false;
+  BlockedState wait = BlockedFromMoving(machine_index, attempt);
   ReplacementFinder::Result place;
   if (!wait) {
-    auto since = image_wait_since_.try_emplace(slot.job, clock_->Now()).first;
+    auto since = image_wait_since_.try_emplace(attempt.job, clock_->Now()).first;
     const bool fetch = clock_->Now() - since->second >= policy_->times.image_wait_s;
-    place = places_.Find(slot.job, mi, fetch);
+    place = places_.Find(attempt.job, machine_index, fetch);
     wait = place.blocked;
   }
   if (wait) {
     drain->blocked = wait;
-    if (jobs_needing_room_.size() < kRoomAhead) jobs_needing_room_.push_back(slot.job);
+    if (jobs_needing_room_.size() < kRoomAhead) jobs_needing_room_.push_back(attempt.job);
     return false;
   }
-  if (place.has_image) image_wait_since_.erase(slot.job);
-  ledger_->ReserveDisruption(slot.job, slot.task_index);
-  ReservePlace(
-      &eviction_tracker_.Begin(drain->order->name, slot.job, slot.task_index, mi, slot.number),
-      place.machine);
-  drain->blocked = {BlockedReason::kReplacing, (*job_store_)[slot.job].id};
+  if (place.has_image) image_wait_since_.erase(attempt.job);
+  ledger_->ReserveDisruption(attempt.job, attempt.task_index);
+  ReservePlace(&eviction_tracker_.Begin(drain->order->name, attempt.job, attempt.task_index,
+                                        machine_index, attempt.number),
+               place.machine);
+  drain->blocked = {BlockedReason::kReplacing, (*job_store_)[attempt.job].id};
   return true;
 }
 
 // A replica that does not come up on a drained machine is down already: it is tried elsewhere.
-void EvictionController::MoveStuckReplica(MachineIndex mi, const TaskAttempt& slot) {
-  if (slot.running_since >= 0 || !slot.wanted) return;
-  if (clock_->Now() - slot.launched_at < policy_->times.replace_within_s) return;
-  fleet_->RequestStop(mi, fleet_->FindAttempt(mi, slot.job, slot.task_index, slot.number), 0);
+void EvictionController::MoveStuckReplica(MachineIndex machine_index, const TaskAttempt& attempt) {
+  if (attempt.running_since >= 0 || !attempt.wanted) return;
+  if (clock_->Now() - attempt.launched_at < policy_->times.replace_within_s) return;
+  fleet_->RequestStop(
+      machine_index,
+      fleet_->FindAttempt(machine_index, attempt.job, attempt.task_index, attempt.number), 0);
   fleet_->placement_needed = true;
 }
 
-bool EvictionController::ExamineArrayTask(Drain* drain, MachineIndex mi, TaskAttempt* slot) {
-  const Job& job = (*job_store_)[slot->job];
+bool EvictionController::ExamineArrayTask(Drain* drain, MachineIndex machine_index,
+                                          TaskAttempt* attempt) {
+  const Job& job = (*job_store_)[attempt->job];
   if (!IsPastDeadline(*drain)) {
     drain->blocked = {BlockedReason::kArraysRunning, job.id};
     return false;
   }
   // A gang is stopped whole or not at all.
   const size_t count = job.spec.gang ? job.machines.size() : 1;
-  const BlockedState wait = ledger_->BlockedFromStopping(std::vector<JobIndex>(count, slot->job));
+  const BlockedState wait =
+      ledger_->BlockedFromStopping(std::vector<JobIndex>(count, attempt->job));
   if (wait) {
     drain->blocked = wait;
     return false;
   }
   spdlog::info("drain {}: past its deadline, stopping {} on {}", drain->order->name,
-               slot->task_name, (*fleet_)[mi].name);
+               attempt->task_name, (*fleet_)[machine_index].name);
   drain->progress.tasks_stopped += count;
   if (job.spec.gang) {
-    gangs_->StopGang(slot->job, "a drain is past its deadline");
+    gangs_->StopGang(attempt->job, "a drain is past its deadline");
   } else {
-    fleet_->RequestStop(mi, slot, GracePeriodOf(job));
+    fleet_->RequestStop(machine_index, attempt, GracePeriodOf(job));
   }
   fleet_->placement_needed = true;
   return true;
 }
 
 void EvictionController::RefreshDrain(Drain* drain) {
-  DrainProgress& p = drain->progress;
-  p.replicas_moving = eviction_tracker_.CountEvictions(p.drain);
-  const bool was_done = p.state == DrainState::kDone;
-  p.machines_left = drain->queue.size();
+  DrainProgress& progress = drain->progress;
+  progress.replicas_moving = eviction_tracker_.CountEvictions(progress.drain);
+  const bool was_done = progress.state == DrainState::kDone;
+  progress.machines_left = drain->queue.size();
   const bool empty = drain->sorted_at >= 0 && confirmed_ && drain->queue.empty();
   const bool unknown = drain->queue.empty() && HasUnknownType(*drain);
-  p.state = DrainState::kActive;
-  if (empty && p.replicas_moving == 0 && !unknown) p.state = DrainState::kDone;
-  if (drain->order->paused) p.state = DrainState::kPaused;
-  if (p.state == DrainState::kPaused) {
+  progress.state = DrainState::kActive;
+  if (empty && progress.replicas_moving == 0 && !unknown) progress.state = DrainState::kDone;
+  if (drain->order->paused) progress.state = DrainState::kPaused;
+  if (progress.state == DrainState::kPaused) {
     drain->blocked = {BlockedReason::kPaused, ""};
-  } else if (p.state == DrainState::kDone) {
+  } else if (progress.state == DrainState::kDone) {
     drain->blocked = {};
   } else if (!confirmed_) {
     drain->blocked = {BlockedReason::kPolicyNotRead, ""};
   } else if (unknown) {
     drain->blocked = {BlockedReason::kUnknownType, drain->order->machines.type};
   } else if (drain->queue.empty()) {
-    drain->blocked = {BlockedReason::kReplacing, std::to_string(p.replicas_moving)};
+    drain->blocked = {BlockedReason::kReplacing, std::to_string(progress.replicas_moving)};
   }
-  if (p.state == DrainState::kDone && !was_done) {
-    spdlog::info("drain {} is done: {} machines, {} replicas moved", p.drain, p.machines_done,
-                 p.replicas_moved);
+  if (progress.state == DrainState::kDone && !was_done) {
+    spdlog::info("drain {} is done: {} machines, {} replicas moved", progress.drain,
+                 progress.machines_done, progress.replicas_moved);
     next_write_ = 0;
   }
-  p.why = Describe(drain->blocked);
-  p.waiting_since_wall = clock_->Wall() - (clock_->Now() - drain->last_progress_at);
+  progress.why = Describe(drain->blocked);
+  progress.waiting_since_wall = clock_->Wall() - (clock_->Now() - drain->last_progress_at);
 }
 
 void EvictionController::SaveProgress(Drain* drain) {
--- a/src/drain/eviction_controller.h
+++ b/src/drain/eviction_controller.h
@@ -34,7 +34,7 @@
   explicit EvictionController(const EvictionDependencies& ports);
 
   // Reads one row if it is one of ours; FinishLoad() after all rows, Use() only after that.
-  bool LoadRecord(RecordId row, const std::string& text);
+  bool LoadRecord(RecordId record_id, const std::string& text);
   void FinishLoad();
   // The policy in force, null without one; `confirmed` as for DisruptionLedger::ApplyPolicy.
   void ApplyPolicy(std::shared_ptr<const DisruptionPolicy> policy, bool confirmed);
@@ -81,27 +81,27 @@
   Drain* Find(const std::string& drain);
   void AdvanceEvictions();
   // False: the step is over.
-  bool Advance(Eviction* step);
-  bool AdvanceAdopted(Eviction* step);
-  bool AdvanceRecording(Eviction* step);
-  bool AdvanceReplacing(Eviction* step);
+  bool Advance(Eviction* eviction);
+  bool AdvanceAdopted(Eviction* eviction);
+  bool AdvanceRecording(Eviction* eviction);
+  bool AdvanceReplacing(Eviction* eviction);
   // Tells the replica of a durable step to stop. False: it no longer may.
-  bool StopReplica(Eviction* step);
+  bool StopReplica(Eviction* eviction);
   // The replacement is late: another machine is tried. False: the step is given up.
-  bool TryElsewhere(Eviction* step);
-  void ReservePlace(Eviction* step, MachineIndex place);
-  void ReleasePlace(Eviction* step);
-  double ReplacementTimeout(const Eviction& step) const;
+  bool TryElsewhere(Eviction* eviction);
+  void ReservePlace(Eviction* eviction, MachineIndex place);
+  void ReleasePlace(Eviction* eviction);
+  double ReplacementTimeout(const Eviction& eviction) const;
 
   void StartEvictions();
   // Looks at the drain's next machines; true when a step was begun.
   bool StartEvictionOf(Drain* drain, size_t* looks);
   // True when something was begun there.
-  bool Examine(Drain* drain, MachineIndex m);
-  bool ExamineReplica(Drain* drain, MachineIndex m, const TaskAttempt& slot);
-  bool ExamineArrayTask(Drain* drain, MachineIndex m, TaskAttempt* slot);
-  BlockedState BlockedFromMoving(MachineIndex m, const TaskAttempt& slot) const;
-  void MoveStuckReplica(MachineIndex m, const TaskAttempt& slot);
+  bool Examine(Drain* drain, MachineIndex machine_index);
+  bool ExamineReplica(Drain* drain, MachineIndex machine_index, const TaskAttempt& attempt);
+  bool ExamineArrayTask(Drain* drain, MachineIndex machine_index, TaskAttempt* attempt);
+  BlockedState BlockedFromMoving(MachineIndex machine_index, const TaskAttempt& attempt) const;
+  void MoveStuckReplica(MachineIndex machine_index, const TaskAttempt& attempt);
   void SortMachines(Drain* drain);
   // Its type is not on offer, nor on any machine.
   bool HasUnknownType(const Drain& drain) const;
@@ -109,7 +109,7 @@
   void RefreshDrain(Drain* drain);
   void SaveProgress(Drain* drain);
   void RecordProgress(const std::string& drain);
-  TaskAttempt* FindEvictedAttempt(const Eviction& step);
+  TaskAttempt* FindEvictedAttempt(const Eviction& eviction);
   static double GracePeriodOf(const Job& job);
 
   JobStore* job_store_;
--- a/src/drain/eviction_tracker.h
+++ b/src/drain/eviction_tracker.h
@@ -40,24 +40,26 @@
       : job_store_(job_store), fleet_(fleet), record_store_(record_store), clock_(clock) {}
 
   // Reads one row if it is a step.
-  bool LoadRecord(RecordId row, const std::string& text);
+  bool LoadRecord(RecordId record_id, const std::string& text);
   // After all rows: steps of jobs that are over are dropped.
   void FinishLoad();
 
   // Begins a step; its row goes out at once.
-  Eviction& Begin(const std::string& drain, JobIndex job, uint32_t task, MachineIndex from,
-                  uint64_t attempt);
-  bool Durable(const Eviction& step) const { return record_store_->IsDurable(step.record_id); }
-  void SetPhase(Eviction* step, EvictionPhase phase);
+  Eviction& Begin(const std::string& drain, JobIndex job, uint32_t task_index, MachineIndex from,
+                  uint64_t attempt_number);
+  bool Durable(const Eviction& eviction) const {
+    return record_store_->IsDurable(eviction.record_id);
+  }
+  void SetPhase(Eviction* eviction, EvictionPhase phase);
   // Forgets the steps for which `over` is true.
   template <class Over>
   void RemoveIf(Over over) {
     std::vector<Eviction> kept;
-    for (Eviction& step : evictions_) {
-      if (over(&step)) {
-        record_store_->Remove(step.record_id);
+    for (Eviction& eviction : evictions_) {
+      if (over(&eviction)) {
+        record_store_->Remove(eviction.record_id);
       } else {
-        kept.push_back(std::move(step));
+        kept.push_back(std::move(eviction));
       }
     }
     evictions_ = std::move(kept);
@@ -65,7 +67,7 @@
 
   std::vector<Eviction>& evictions() { return evictions_; }
   const std::vector<Eviction>& evictions() const { return evictions_; }
-  bool IsEvicting(JobIndex job, uint32_t task) const;
+  bool IsEvicting(JobIndex job, uint32_t task_index) const;
   uint64_t CountEvictions(const std::string& drain) const;
 
  private:
--- a/src/drain/policy.cc
+++ b/src/drain/policy.cc
@@ -114,9 +114,10 @@
 // (team "name" (down ...) (stopped ...)) or (class "team" "class" (down ...) ...)
 void ReadBudget(const SExpression& entry, DisruptionPolicy* out, Reader* reader) {
   if (entry.Name() == "default") {
-    reader->ForEach(entry, 1, "default", [&](const SExpression& e) {
-      if (e.Name() != "down") reader->Fail("default", "unknown entry '" + e.Name() + "'");
-      out->default_down = ReadDown(e, "default", reader);
+    reader->ForEach(entry, 1, "default", [&](const SExpression& expression) {
+      if (expression.Name() != "down")
+        reader->Fail("default", "unknown entry '" + expression.Name() + "'");
+      out->default_down = ReadDown(expression, "default", reader);
     });
     return;
   }
@@ -139,8 +140,9 @@
         return other.team == budget.team && other.job_class == budget.job_class;
       });
   if (twice) reader->Fail(where, "given twice");
-  reader->ForEach(entry, of_class ? 3 : 2, where,
-                  [&](const SExpression& e) { ReadBudgetEntry(e, where, &budget, reader); });
+  reader->ForEach(entry, of_class ? 3 : 2, where, [&](const SExpression& expression) {
+    ReadBudgetEntry(expression, where, &budget, reader);
+  });
   out->budgets.push_back(std::move(budget));
 }
 
@@ -193,8 +195,9 @@
   if (out->drains.size() >= kMostDrains) {
     reader->Fail("drains", "more than " + std::to_string(kMostDrains));
   }
-  reader->ForEach(entry, 2, where,
-                  [&](const SExpression& e) { ReadDrainEntry(e, where, &drain, reader); });
+  reader->ForEach(entry, 2, where, [&](const SExpression& expression) {
+    ReadDrainEntry(expression, where, &drain, reader);
+  });
   const MachineSelector& m = drain.machines;
   const bool some = !m.names.empty() || !m.type.empty() || !m.zone.empty() || m.network;
   if (!some && !m.everything) {
@@ -277,13 +280,14 @@
       has_revision = true;
     } else if (section.Name() == "budgets") {
       reader.ForEach(section, 1, "budgets",
-                     [&](const SExpression& e) { ReadBudget(e, out, &reader); });
+                     [&](const SExpression& expression) { ReadBudget(expression, out, &reader); });
     } else if (section.Name() == "drains") {
       reader.ForEach(section, 1, "drains",
-                     [&](const SExpression& e) { ReadDrain(e, out, &reader); });
+                     [&](const SExpression& expression) { ReadDrain(expression, out, &reader); });
     } else if (section.Name() == "steps") {
-      reader.ForEach(section, 1, "steps",
-                     [&](const SExpression& e) { ReadTime(e, &out->times, &reader); });
+      reader.ForEach(section, 1, "steps", [&](const SExpression& expression) {
+        ReadTime(expression, &out->times, &reader);
+      });
     } else {
       reader.Fail("disruption", "unknown entry '" + section.Name() + "'");
     }
--- a/src/drain/policy_replicator.cc
+++ b/src/drain/policy_replicator.cc
@@ -16,12 +16,12 @@
 
 std::string EncodePolicy(const DisruptionPolicy& policy) {
   rapidjson::StringBuffer buffer;
-  JsonWriter w(buffer);
-  w.StartObject();
-  w.Key("revision");
-  w.Uint64(policy.revision);
-  PutString(w, "text", policy.text);
-  w.EndObject();
+  JsonWriter writer(buffer);
+  writer.StartObject();
+  writer.Key("revision");
+  writer.Uint64(policy.revision);
+  PutString(writer, "text", policy.text);
+  writer.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
 }
 
@@ -49,22 +49,22 @@
 void PolicyReplicator::Read() {
   call_in_flight_ = true;
   next_read_at_ = clock_->Now() + kReadEvery;
-  key_value_store_->Get(kKey, [this, asked_at = clock_->Now()](const KeyValueResponse& answer) {
+  key_value_store_->Get(kKey, [this, asked_at = clock_->Now()](const KeyValueResponse& response) {
     call_in_flight_ = false;
-    if (answer.status != KeyValueStatus::kOk) {
+    if (response.status != KeyValueStatus::kOk) {
       next_read_at_ = clock_->Now() + kRetryAfter;
       return;
     }
-    HandleStoredPolicy(answer, asked_at);
+    HandleStoredPolicy(response, asked_at);
   });
 }
 
-void PolicyReplicator::HandleStoredPolicy(const KeyValueResponse& answer, double asked_at) {
-  if (!answer.found) {
+void PolicyReplicator::HandleStoredPolicy(const KeyValueResponse& response, double asked_at) {
+  if (!response.found) {
     Write(0);
     return;
   }
-  const KeyValue& row = answer.entries.front();
+  const KeyValue& row = response.entries.front();
   rapidjson::Document doc;
   uint64_t revision = 0;
   std::string text;
@@ -108,18 +108,18 @@
 }
 
 void PolicyReplicator::Write(uint64_t version) {
-  Transaction txn;
-  txn.preconditions.push_back({kKey, version});
-  txn.mutations.push_back({kKey, EncodePolicy(*local_), 0});
+  Transaction transaction;
+  transaction.preconditions.push_back({kKey, version});
+  transaction.mutations.push_back({kKey, EncodePolicy(*local_), 0});
   call_in_flight_ = true;
-  key_value_store_->Commit(txn, [this](const KeyValueResponse& answer) {
+  key_value_store_->Commit(transaction, [this](const KeyValueResponse& response) {
     call_in_flight_ = false;
-    if (answer.status == KeyValueStatus::kInvalid) {
+    if (response.status == KeyValueStatus::kInvalid) {
       LogOnce("the state service rejects the disruption policy");
       return;
     }
     // Written or overtaken: what is stored now is read again.
-    next_read_at_ = answer.status == KeyValueStatus::kOk ? 0 : clock_->Now() + kRetryAfter;
+    next_read_at_ = response.status == KeyValueStatus::kOk ? 0 : clock_->Now() + kRetryAfter;
   });
 }
 
--- a/src/drain/policy_replicator.h
+++ b/src/drain/policy_replicator.h
@@ -35,7 +35,7 @@
 
  private:
   void Read();
-  void HandleStoredPolicy(const KeyValueResponse& answer, double asked_at);
+  void HandleStoredPolicy(const KeyValueResponse& response, double asked_at);
   void Write(uint64_t version);
   // Takes over what another controller stored. False: it is no policy.
   bool Adopt(const std::string& value);
--- a/src/drain/replacement_finder.cc
+++ b/src/drain/replacement_finder.cc
@@ -37,43 +37,45 @@
   return some;
 }
 
-ReplacementFinder::Result ReplacementFinder::Find(JobIndex j, MachineIndex from, bool fetch) {
-  const Job& job = (*job_store_)[j];
+ReplacementFinder::Result ReplacementFinder::Find(JobIndex job_index, MachineIndex from,
+                                                  bool fetch) {
+  const Job& job = (*job_store_)[job_index];
   RefreshCandidates();
   std::vector<uint32_t> on = job.machines;
   if (auto it = std::find(on.begin(), on.end(), from); it != on.end()) on.erase(it);
   std::vector<char> zones;
   if (!free_capacity_->AllowedZones(job, on, &zones))
     return {kNoIndex, false, {BlockedReason::kTakingOver, job.id}};
-  ResourceRequest need = free_capacity_->RequestFor(job, zones, on);
-  need.overdue = false;
+  ResourceRequest request = free_capacity_->RequestFor(job, zones, on);
+  request.overdue = false;
   std::vector<uint32_t> some = NextCandidates();
   // Where it failed before, or did not start, it is not sent on purpose.
   std::erase_if(some, [&job](uint32_t m) {
     return std::find(job.failed_machines.begin(), job.failed_machines.end(), m) !=
            job.failed_machines.end();
   });
-  need.cached_only = true;
-  int at = BestFitQueue(&need, &free_capacity_->capacities(), some).PopBest(true);
+  request.cached_only = true;
+  int at = BestFitQueue(&request, &free_capacity_->capacities(), some).PopBest(true);
   if (at >= 0) return {static_cast<MachineIndex>(at), true, {}};
-  need.cached_only = false;
-  at = BestFitQueue(&need, &free_capacity_->capacities(), some).PopBest(true);
+  request.cached_only = false;
+  at = BestFitQueue(&request, &free_capacity_->capacities(), some).PopBest(true);
   if (at >= 0 && fetch) return {static_cast<MachineIndex>(at), false, {}};
   if (at >= 0) return {kNoIndex, false, {BlockedReason::kNoImage, job.id}};
   const bool no_zone =
-      need.allowed_zones != nullptr &&
+      request.allowed_zones != nullptr &&
       std::none_of(zones.begin(), zones.end(), [](char open) { return open != 0; });
   return {kNoIndex, false, {no_zone ? BlockedReason::kZoneRule : BlockedReason::kNoPlace, job.id}};
 }
 
-bool ReplacementFinder::StillFits(JobIndex j, MachineIndex place) {
-  const Job& job = (*job_store_)[j];
+bool ReplacementFinder::StillFits(JobIndex job_index, MachineIndex place) {
+  const Job& job = (*job_store_)[job_index];
   std::vector<char> zones;
   if (!free_capacity_->AllowedZones(job, job.machines, &zones)) return false;
-  const ResourceRequest need = free_capacity_->RequestFor(job, zones, job.machines);
-  const MachineCapacity& node = free_capacity_->Current(place);
-  return node.usable && SatisfiesConstraints(need, node.type, node.zone, node.spot) &&
-         Fits(need, node);
+  const ResourceRequest request = free_capacity_->RequestFor(job, zones, job.machines);
+  const MachineCapacity& capacity = free_capacity_->Current(place);
+  return capacity.usable &&
+         SatisfiesConstraints(request, capacity.type, capacity.zone, capacity.spot) &&
+         Fits(request, capacity);
 }
 
 }  // namespace deckhall
--- a/src/drain/replacement_finder.h
+++ b/src/drain/replacement_finder.h
@@ -22,9 +22,9 @@
   };
   // A place for one replica of the job that leaves `from`. `fetch`: where its image has to be
   // fetched will do.
-  Result Find(JobIndex j, MachineIndex from, bool fetch);
+  Result Find(JobIndex job_index, MachineIndex from, bool fetch);
   // Whether the job may have one more task there now, beside those that it has.
-  bool StillFits(JobIndex j, MachineIndex place);
+  bool StillFits(JobIndex job_index, MachineIndex place);
   uint64_t examined() const { return examined_; }
 
  private:
--- a/src/fleet/cache_hints.cc
+++ b/src/fleet/cache_hints.cc
@@ -15,20 +15,20 @@
 
 }  // namespace
 
-bool CacheHints::LoadRecord(RecordId row, const std::string& text) {
+bool CacheHints::LoadRecord(RecordId record_id, const std::string& text) {
   rapidjson::Document doc;
   if (!ParseJson(text, &doc) || !doc.IsObject()) return false;
   const JsonValue* names = JsonMember(doc, kNamesKey);
   const JsonValue* machines = JsonMember(doc, kMachinesKey);
   if (names != nullptr && names->IsArray()) {
-    loaded_records_.push_back(row);
+    loaded_records_.push_back(record_id);
     for (const auto& name : names->GetArray()) {
       loaded_names_.emplace_back(name.IsString() ? name.GetString() : "");
     }
     return true;
   }
   if (machines == nullptr || !machines->IsArray()) return false;
-  loaded_records_.push_back(row);
+  loaded_records_.push_back(record_id);
   for (const auto& entry : machines->GetArray()) {
     if (!entry.IsArray() || entry.Empty() || !entry[0].IsString()) continue;
     std::vector<uint32_t> images;
@@ -42,36 +42,36 @@
 
 void CacheHints::FinishLoad() {
   for (const auto& [name, images] : loaded_) {
-    const MachineIndex mi = fleet_->Find(name);
-    if (mi == kNoIndex) continue;
+    const MachineIndex machine_index = fleet_->Find(name);
+    if (machine_index == kNoIndex) continue;
     for (uint32_t i : images) {
       if (i >= loaded_names_.size() || loaded_names_[i].empty()) continue;
-      (*fleet_)[mi].cached_images.push_back(job_store_->images.Add(loaded_names_[i]));
+      (*fleet_)[machine_index].cached_images.push_back(job_store_->images.Add(loaded_names_[i]));
     }
   }
   loaded_ = {};
   loaded_names_ = {};
   // What is read is written anew by Save(). Rows made under larger limits go at once:
   // they may fit no page any more.
-  std::erase_if(loaded_records_, [this](RecordId row) {
-    const bool large = record_store_->RecordBytes(row) > record_bytes_;
-    if (large) record_store_->Remove(row);
+  std::erase_if(loaded_records_, [this](RecordId record_id) {
+    const bool large = record_store_->RecordBytes(record_id) > record_bytes_;
+    if (large) record_store_->Remove(record_id);
     return large;
   });
 }
 
 void CacheHints::SaveImageNames() {
   rapidjson::StringBuffer buffer;
-  JsonWriter w(buffer);
-  w.StartObject();
-  w.Key(kNamesKey);
-  w.StartArray();
+  JsonWriter writer(buffer);
+  writer.StartObject();
+  writer.Key(kNamesKey);
+  writer.StartArray();
   for (uint32_t i = 0; i < job_store_->images.size(); ++i) {
     if (buffer.GetSize() + job_store_->images[i].size() + 8 > record_bytes_) break;
-    w.String(job_store_->images[i]);
+    writer.String(job_store_->images[i]);
   }
-  w.EndArray();
-  w.EndObject();
+  writer.EndArray();
+  writer.EndObject();
   std::string text(buffer.GetString(), buffer.GetSize());
   if (names_record_ == kNoRecord) {
     names_record_ = record_store_->Add(std::move(text), record_bytes_, WritePriority::kBackground);
@@ -94,20 +94,22 @@
 void CacheHints::Save() {
   // Written anew with all the room that they may need: where they were, other rows may
   // have filled the page.
-  for (RecordId row : std::exchange(loaded_records_, {})) record_store_->Remove(row);
+  for (RecordId record_id : std::exchange(loaded_records_, {})) record_store_->Remove(record_id);
   SaveImageNames();
   std::string text;
   size_t used = 0;
-  for (MachineIndex mi : fleet_->active()) {
-    const Machine& m = (*fleet_)[mi];
-    if (m.cached_images.empty() || m.scaling_in) continue;
+  for (MachineIndex machine_index : fleet_->active()) {
+    const Machine& machine = (*fleet_)[machine_index];
+    if (machine.cached_images.empty() || machine.scaling_in) continue;
     rapidjson::StringBuffer buffer;
-    JsonWriter w(buffer);
-    w.StartArray();
-    w.String(m.name);
-    const size_t from = m.cached_images.size() - std::min(kMostImages, m.cached_images.size());
-    for (size_t i = from; i < m.cached_images.size(); ++i) w.Uint(m.cached_images[i]);
-    w.EndArray();
+    JsonWriter writer(buffer);
+    writer.StartArray();
+    writer.String(machine.name);
+    const size_t from =
+        machine.cached_images.size() - std::min(kMostImages, machine.cached_images.size());
+    for (size_t i = from; i < machine.cached_images.size(); ++i)
+      writer.Uint(machine.cached_images[i]);
+    writer.EndArray();
     if (text.size() + buffer.GetSize() + 16 > record_bytes_) {
       SaveRecord(used++, std::move(text));
       text.clear();
--- a/src/fleet/cache_hints.h
+++ b/src/fleet/cache_hints.h
@@ -20,7 +20,7 @@
         record_bytes_(row_bytes) {}
 
   // Reads one row if it is one of ours.
-  bool LoadRecord(RecordId row, const std::string& text);
+  bool LoadRecord(RecordId record_id, const std::string& text);
   // After all rows.
   void FinishLoad();
   void Save();
--- a/src/fleet/http_worker_client.cc
+++ b/src/fleet/http_worker_client.cc
@@ -12,15 +12,15 @@
     spdlog::warn("worker address {} is not usable", endpoint);
     to = Endpoint{"0.0.0.0", 1};
   }
-  http_.Call(to, call, [endpoint, done = std::move(done)](const HttpResult& r) {
-    WorkerResponse answer;
-    answer.sent = r.sent;
-    if (r.status == 200 || r.status == 409) {
-      answer.has_heartbeat = DecodeHeartbeat(r.body, &answer.heartbeat);
-      if (!answer.has_heartbeat) spdlog::warn("worker at {} answers no report", endpoint);
+  http_.Call(to, call, [endpoint, done = std::move(done)](const HttpResult& result) {
+    WorkerResponse response;
+    response.sent = result.sent;
+    if (result.status == 200 || result.status == 409) {
+      response.has_heartbeat = DecodeHeartbeat(result.body, &response.heartbeat);
+      if (!response.has_heartbeat) spdlog::warn("worker at {} answers no report", endpoint);
     }
-    if (answer.has_heartbeat) answer.status = r.status;
-    done(std::move(answer));
+    if (response.has_heartbeat) response.status = result.status;
+    done(std::move(response));
   });
 }
 
--- a/src/leader/autoscaler.cc
+++ b/src/leader/autoscaler.cc
@@ -16,8 +16,8 @@
 constexpr double kNegligibleBacklogShare = 0.01;
 
 bool SameRequest(const ResourceRequest& a, const ResourceRequest& b) {
-  auto types = [](const ResourceRequest& n) {
-    return n.allowed_types == nullptr ? std::vector<char>() : *n.allowed_types;
+  auto types = [](const ResourceRequest& request) {
+    return request.allowed_types == nullptr ? std::vector<char>() : *request.allowed_types;
   };
   return a.cores == b.cores && a.memory_gb == b.memory_gb && a.gpus == b.gpus &&
          a.required_zone == b.required_zone && a.spot_tolerant == b.spot_tolerant &&
@@ -25,17 +25,17 @@
 }
 
 // Jobs by the hundred have few different needs: the plan's work grows with those.
-void AddDemand(std::vector<ResourceDemand>* wants, size_t from, const ResourceRequest& need,
+void AddDemand(std::vector<ResourceDemand>* demands, size_t from, const ResourceRequest& request,
                uint32_t count) {
-  for (size_t i = from; i < wants->size(); ++i) {
-    if ((*wants)[i].single_zone || !SameRequest((*wants)[i].request, need)) continue;
-    (*wants)[i].count += count;
+  for (size_t i = from; i < demands->size(); ++i) {
+    if ((*demands)[i].single_zone || !SameRequest((*demands)[i].request, request)) continue;
+    (*demands)[i].count += count;
     return;
   }
   ResourceDemand w;
-  w.request = need;
+  w.request = request;
   w.count = count;
-  wants->push_back(w);
+  demands->push_back(w);
 }
 
 }  // namespace
@@ -68,81 +68,84 @@
                                                            int* machines) const {
   const double now = clock_->Now();
   const double wall = clock_->Wall();
-  std::vector<InstanceOffering> offers;
+  std::vector<InstanceOffering> offerings;
   for (size_t p = 0; p < provisioner_->pools().size(); ++p) {
     const MachinePool& pool = provisioner_->pools()[p];
     const MachineType* type = provisioner_->TypeOf(pool.type);
-    InstanceOffering o;
-    o.type = pool.type;
-    o.zone = pool.zone;
-    o.spot = pool.spot;
+    InstanceOffering offering;
+    offering.type = pool.type;
+    offering.zone = pool.zone;
+    offering.spot = pool.spot;
     if (type != nullptr) {
-      o.cores = type->cores;
-      o.gpus = type->gpus;
-      o.memory_gb = type->memory_gb;
-      o.price = pool.spot ? type->spot_price : type->price;
-      o.boot_s = type->boot_s;
+      offering.cores = type->cores;
+      offering.gpus = type->gpus;
+      offering.memory_gb = type->memory_gb;
+      offering.price = pool.spot ? type->spot_price : type->price;
+      offering.boot_s = type->boot_s;
     }
     // What is rented behind a cut can't be used before the cut ends.
-    o.unavailable =
+    offering.unavailable =
         type == nullptr || now < pool.backoff_until || free_capacity_->IsPartitioned(pool.zone) ||
         drainer_->PreventsScaleOut(job_store_->types[pool.type], job_store_->zones[pool.zone]);
     const int pending = provisioner_->PendingMachines(static_cast<uint32_t>(p));
-    o.existing_machines = pending;
+    offering.existing_machines = pending;
     // Machines asked for count as if they were booting.
     for (int i = 0; i < pending; ++i) {
-      bins->push_back(EmptyMachine(o));
+      bins->push_back(EmptyMachine(offering));
       ++*machines;
     }
-    offers.push_back(o);
+    offerings.push_back(offering);
   }
-  for (MachineIndex mi : fleet_->active()) {
-    const Machine& m = (*fleet_)[mi];
-    if (m.scaling_in) continue;
+  for (MachineIndex machine_index : fleet_->active()) {
+    const Machine& machine = (*fleet_)[machine_index];
+    if (machine.scaling_in) continue;
     // A machine nobody named may be a late copy's ghost: it counts when it hears.
-    if (!m.registered && !m.may_run_former_attempts &&
-        !(m.reconciled && Fleet::HasAcknowledgedToken(m)))
+    if (!machine.registered && !machine.may_run_former_attempts &&
+        !(machine.reconciled && Fleet::HasAcknowledgedToken(machine)))
       continue;
     ++*machines;
-    for (InstanceOffering& o : offers) {
-      if (o.type == m.type && o.zone == m.zone && o.spot == m.spot) ++o.existing_machines;
+    for (InstanceOffering& offering : offerings) {
+      if (offering.type == machine.type && offering.zone == machine.zone &&
+          offering.spot == machine.spot)
+        ++offering.existing_machines;
     }
-    const MachineCapacity& room = free_capacity_->capacities()[mi];
-    if (room.cores <= kEps || m.cordoned) continue;
+    const MachineCapacity& room = free_capacity_->capacities()[machine_index];
+    if (room.cores <= kEps || machine.cordoned) continue;
     bool usable = room.usable;
-    if (m.zone != kNoIndex && free_capacity_->IsPartitioned(m.zone)) continue;
-    if (!m.up) {
-      const MachineType* type = provisioner_->TypeOf(m.type);
-      usable =
-          type != nullptr && wall - m.provisioned_at_wall < type->boot_s * tuning_->late_boot + 5;
+    if (machine.zone != kNoIndex && free_capacity_->IsPartitioned(machine.zone)) continue;
+    if (!machine.up) {
+      const MachineType* type = provisioner_->TypeOf(machine.type);
+      usable = type != nullptr &&
+               wall - machine.provisioned_at_wall < type->boot_s * tuning_->late_boot + 5;
     } else if (!usable) {
-      usable = !m.unschedulable && m.preemption_at < 0 && now >= m.quarantined_until &&
-               m.unreachable_count < 2 && free_capacity_->IsHeardRecently(m);
+      usable = !machine.unschedulable && machine.preemption_at < 0 &&
+               now >= machine.quarantined_until && machine.unreachable_count < 2 &&
+               free_capacity_->IsHeardRecently(machine);
     }
     if (!usable) continue;
-    MachineCapacity n;
-    n.machine = mi;
-    n.type = room.type;
-    n.zone = room.zone;
-    n.spot = room.spot;
-    n.usable = true;
-    n.cores = room.cores;
-    n.gpus = room.gpus;
-    n.memory_gb = room.memory_gb;
-    bins->push_back(n);
+    MachineCapacity capacity;
+    capacity.machine = machine_index;
+    capacity.type = room.type;
+    capacity.zone = room.zone;
+    capacity.spot = room.spot;
+    capacity.usable = true;
+    capacity.cores = room.cores;
+    capacity.gpus = room.gpus;
+    capacity.memory_gb = room.memory_gb;
+    bins->push_back(capacity);
   }
-  return offers;
+  return offerings;
 }
 
 std::vector<ResourceDemand> Autoscaler::CollectDemands(double* waiting) {
   const double now = clock_->Now();
-  std::vector<ResourceDemand> wants;
+  std::vector<ResourceDemand> demands;
   static const std::vector<char> kAnyZone;
   static const std::vector<uint32_t> kNowhere;
   auto need_of = [this](const Job& job) {
-    ResourceRequest n = free_capacity_->RequestFor(job, kAnyZone, kNowhere);
-    n.failed_machines = nullptr;
-    return n;
+    ResourceRequest request = free_capacity_->RequestFor(job, kAnyZone, kNowhere);
+    request.failed_machines = nullptr;
+    return request;
   };
   // What each team may still use.
   std::vector<double> room(job_store_->teams.size());
@@ -156,27 +159,27 @@
     r -= count * job.spec.cores;
     return count;
   };
-  for (JobIndex j : job_store_->active_jobs()) {
-    const Job& job = (*job_store_)[j];
+  for (JobIndex job_index : job_store_->active_jobs()) {
+    const Job& job = (*job_store_)[job_index];
     if (!job.spec.service || job.waiting_tasks.empty()) continue;
     const uint32_t n = within_limit(job, static_cast<uint32_t>(job.waiting_tasks.size()));
-    if (n > 0) AddDemand(&wants, 0, need_of(job), n);
+    if (n > 0) AddDemand(&demands, 0, need_of(job), n);
   }
   // Replicas that drains move next need room before they are stopped.
-  for (JobIndex j : drainer_->jobs_needing_room())
-    AddDemand(&wants, 0, need_of((*job_store_)[j]), 1);
+  for (JobIndex job_index : drainer_->jobs_needing_room())
+    AddDemand(&demands, 0, need_of((*job_store_)[job_index]), 1);
   double lent = 0;  // kept room that arrays may use meanwhile
   const double headroom = free_capacity_->headroom();
   if (free_capacity_->largest_replica_cores() > 0) {
-    ResourceRequest need;
-    need.cores = free_capacity_->largest_replica_cores();
-    need.memory_gb = free_capacity_->largest_replica_memory_gb();
+    ResourceRequest request;
+    request.cores = free_capacity_->largest_replica_cores();
+    request.memory_gb = free_capacity_->largest_replica_memory_gb();
     // Arrays on ordinary machines give way: their room counts as kept.
     const double open = std::max(0.0, headroom - free_capacity_->preemptible_reserve());
     lent = std::max(0.0, open - headroom * tuning_->headroom_reserved_share);
     const auto count =
         static_cast<uint32_t>(std::ceil(open / free_capacity_->largest_replica_cores()));
-    if (count > 0) AddDemand(&wants, wants.size(), need, count);
+    if (count > 0) AddDemand(&demands, demands.size(), request, count);
   }
   // Arrays: enough to work off what waits in the time the operator set.
   auto waits = [now](const Job& job) {
@@ -184,31 +187,31 @@
            now >= job.backoff_until && job.consecutive_failures < 3;
   };
   double backlog = 0;
-  for (JobIndex j : ranking_->order()) {
-    const Job& job = (*job_store_)[j];
+  for (JobIndex job_index : ranking_->order()) {
+    const Job& job = (*job_store_)[job_index];
     if (!waits(job) || job.spec.gang) continue;
     const double cores = job.spec.cores * static_cast<double>(job.waiting_tasks.size());
     *waiting += cores;
     backlog += cores * ranking_->ExpectedTaskSeconds(job);
   }
-  size_t from = wants.size();
-  for (JobIndex j : ranking_->order()) {
+  size_t from = demands.size();
+  for (JobIndex job_index : ranking_->order()) {
     // A gang needs room for all its tasks at once.
-    const Job& job = (*job_store_)[j];
+    const Job& job = (*job_store_)[job_index];
     if (!job.spec.gang || !waits(job) || job.waiting_tasks.size() < job.tasks.size()) continue;
     const auto n = static_cast<uint32_t>(job.waiting_tasks.size());
     if (within_limit(job, n) != n) continue;
     if (job.spec.single_zone) {
       // Each such gang may be in another zone, but must be in one.
-      wants.push_back({need_of(job), n, true});
+      demands.push_back({need_of(job), n, true});
     } else {
-      AddDemand(&wants, from, need_of(job), n);
+      AddDemand(&demands, from, need_of(job), n);
     }
   }
-  from = wants.size();
+  from = demands.size();
   double left = std::min(*waiting, backlog / tuning_->backlog_drain_s) - lent;
-  for (JobIndex j : ranking_->order()) {
-    const Job& job = (*job_store_)[j];
+  for (JobIndex job_index : ranking_->order()) {
+    const Job& job = (*job_store_)[job_index];
     if (left <= 0) break;
     if (!waits(job) || job.spec.gang) continue;
     const double per = std::max(job.spec.cores, 0.1);
@@ -217,19 +220,19 @@
     n = within_limit(job, n);
     if (n == 0) continue;
     left -= n * per;
-    AddDemand(&wants, from, need_of(job), n);
+    AddDemand(&demands, from, need_of(job), n);
   }
-  return wants;
+  return demands;
 }
 
 void Autoscaler::ScaleOut() {
   std::vector<MachineCapacity> bins;
   int machines = 0;
-  const std::vector<InstanceOffering> offers = CollectOfferings(&bins, &machines);
+  const std::vector<InstanceOffering> offerings = CollectOfferings(&bins, &machines);
   double waiting = 0;
-  const std::vector<ResourceDemand> wants = CollectDemands(&waiting);
+  const std::vector<ResourceDemand> demands = CollectDemands(&waiting);
   const int most = std::max(0, MaxMachines(*settings_) - machines);
-  for (const ScaleOutDecision& r : PlanScaleOut(offers, std::move(bins), wants, most)) {
+  for (const ScaleOutDecision& r : PlanScaleOut(offerings, std::move(bins), demands, most)) {
     char why[160];
     std::snprintf(why, sizeof why, "%.0f cores of arrays wait, %.0f kept for replicas", waiting,
                   free_capacity_->headroom());
@@ -243,8 +246,8 @@
   const double now = clock_->Now();
   bool waits = fleet_->CountUnreconciled() > 0 || provisioner_->HasPendingRequests();
   double waiting = 0;
-  for (JobIndex j : job_store_->active_jobs()) {
-    const Job& job = (*job_store_)[j];
+  for (JobIndex job_index : job_store_->active_jobs()) {
+    const Job& job = (*job_store_)[job_index];
     waits = waits || (job.spec.service && !job.waiting_tasks.empty());
     waiting += job.spec.cores * static_cast<double>(job.waiting_tasks.size());
   }
@@ -252,29 +255,31 @@
   const size_t most = 1 + fleet_->active().size() / kMachinesPerConsolidation;
   std::vector<MachineIndex> emptying;
   std::vector<std::pair<double, MachineIndex>> thin;
-  for (MachineIndex mi : fleet_->active()) {
-    const Machine& m = (*fleet_)[mi];
-    if (m.scaling_in || m.cordoned) continue;
-    if (m.consolidating) {
-      emptying.push_back(mi);
+  for (MachineIndex machine_index : fleet_->active()) {
+    const Machine& machine = (*fleet_)[machine_index];
+    if (machine.scaling_in || machine.cordoned) continue;
+    if (machine.consolidating) {
+      emptying.push_back(machine_index);
       continue;
     }
-    if (m.spot || !free_capacity_->capacities()[mi].usable || now - m.up_at <= tuning_->settled_s)
+    if (machine.spot || !free_capacity_->capacities()[machine_index].usable ||
+        now - machine.up_at <= tuning_->settled_s)
       continue;
-    const bool settled =
-        std::all_of(m.attempts.begin(), m.attempts.end(), [this, now](const TaskAttempt& s) {
-          return s.released || (s.wanted && s.job != kNoIndex && s.state == TaskState::kRunning &&
-                                now - s.launched_at > tuning_->settled_s);
+    const bool settled = std::all_of(
+        machine.attempts.begin(), machine.attempts.end(), [this, now](const TaskAttempt& attempt) {
+          return attempt.released || (attempt.wanted && attempt.job != kNoIndex &&
+                                      attempt.state == TaskState::kRunning &&
+                                      now - attempt.launched_at > tuning_->settled_s);
         });
-    if (settled) thin.emplace_back(m.used_cores, mi);
+    if (settled) thin.emplace_back(machine.used_cores, machine_index);
   }
-  for (MachineIndex mi : emptying) {
-    Machine& m = (*fleet_)[mi];
-    if (waits && now - m.consolidating_since > 3 && now - m.last_move_at > 3) {
+  for (MachineIndex machine_index : emptying) {
+    Machine& machine = (*fleet_)[machine_index];
+    if (waits && now - machine.consolidating_since > 3 && now - machine.last_move_at > 3) {
       // Its room is needed after all.
-      m.consolidating = m.unschedulable = false;
-    } else if (!waits && now - m.last_move_at > 0.5) {
-      MoveOneReplica(mi);
+      machine.consolidating = machine.unschedulable = false;
+    } else if (!waits && now - machine.last_move_at > 0.5) {
+      MoveOneReplica(machine_index);
     }
   }
   if (waits) return;
@@ -282,69 +287,71 @@
   double free = free_capacity_->free_ordinary();
   for (const auto& [used, mi] : thin) {
     if (emptying.size() >= most) return;
-    Machine& m = (*fleet_)[mi];
+    Machine& machine = (*fleet_)[mi];
     const double others = free - std::max(0.0, free_capacity_->capacities()[mi].cores);
     const double kept = free_capacity_->headroom() * (1 + tuning_->consolidate_spare) +
                         free_capacity_->planned_cores();
     if (others < used + kept) return;
     free = others - used;
-    m.consolidating = m.unschedulable = true;
-    m.consolidating_since = now;
+    machine.consolidating = machine.unschedulable = true;
+    machine.consolidating_since = now;
     emptying.push_back(mi);
-    spdlog::info("emptying machine {}: {} cores in use there, {} free elsewhere", m.name, used,
-                 others);
+    spdlog::info("emptying machine {}: {} cores in use there, {} free elsewhere", machine.name,
+                 used, others);
   }
 }
 
-void Autoscaler::MoveOneReplica(MachineIndex mi) {
-  Machine& m = (*fleet_)[mi];
-  for (TaskAttempt& s : m.attempts) {
-    if (s.released || !s.wanted || s.job == kNoIndex || s.state != TaskState::kRunning) continue;
-    const Job& job = (*job_store_)[s.job];
+void Autoscaler::MoveOneReplica(MachineIndex machine_index) {
+  Machine& machine = (*fleet_)[machine_index];
+  for (TaskAttempt& attempt : machine.attempts) {
+    if (attempt.released || !attempt.wanted || attempt.job == kNoIndex ||
+        attempt.state != TaskState::kRunning)
+      continue;
+    const Job& job = (*job_store_)[attempt.job];
     if (!job.spec.service) continue;                     // arrays end by themselves
     if (job.tasks_running < job.tasks.size()) continue;  // one replica of a job at a time
-    if (ledger_->BlockedFromEvicting(s.job)) continue;
+    if (ledger_->BlockedFromEvicting(attempt.job)) continue;
     std::vector<uint32_t> on = job.machines;
-    on.erase(std::find(on.begin(), on.end(), mi));
+    on.erase(std::find(on.begin(), on.end(), machine_index));
     std::vector<char> zones;
     if (!free_capacity_->AllowedZones(job, on, &zones)) continue;
-    ResourceRequest need = free_capacity_->RequestFor(job, zones, on);
-    need.overdue = false;
-    need.cached_only = true;
+    ResourceRequest request = free_capacity_->RequestFor(job, zones, on);
+    request.overdue = false;
+    request.cached_only = true;
     const std::vector<uint32_t> open = free_capacity_->MachinesWithRoom(job.spec.cores);
     // It is itself drained, and so not among them.
-    if (BestFitQueue(&need, &free_capacity_->capacities(), open).PopBest(true) < 0) continue;
-    spdlog::info("moving {} off {}", s.task_name, m.name);
-    fleet_->RequestStop(mi, &s, 0);
-    m.last_move_at = clock_->Now();
+    if (BestFitQueue(&request, &free_capacity_->capacities(), open).PopBest(true) < 0) continue;
+    spdlog::info("moving {} off {}", attempt.task_name, machine.name);
+    fleet_->RequestStop(machine_index, &attempt, 0);
+    machine.last_move_at = clock_->Now();
     fleet_->placement_needed = true;
     return;
   }
 }
 
 // Empty machines that are of no more use, however much waits.
-bool Autoscaler::ScaleInIfUseless(MachineIndex mi, double boot) {
-  Machine& m = (*fleet_)[mi];
+bool Autoscaler::ScaleInIfUseless(MachineIndex machine_index, double boot) {
+  Machine& machine = (*fleet_)[machine_index];
   const double now = clock_->Now();
-  if (!m.up) {
-    if (clock_->Wall() - m.provisioned_at_wall > boot * tuning_->give_up_boot &&
-        now - m.discovered_at > boot) {
-      provisioner_->ScaleIn(mi, "does not come up");
+  if (!machine.up) {
+    if (clock_->Wall() - machine.provisioned_at_wall > boot * tuning_->give_up_boot &&
+        now - machine.discovered_at > boot) {
+      provisioner_->ScaleIn(machine_index, "does not come up");
     }
     return true;
   }
-  if (m.active_attempts > 0 || !m.reconciled) {
-    m.idle_since = -1;
+  if (machine.active_attempts > 0 || !machine.reconciled) {
+    machine.idle_since = -1;
     return true;
   }
-  if (m.idle_since < 0) m.idle_since = now;
-  const char* why = m.preemption_at >= 0 ? "the cloud takes it, and it is empty"
-                    : provisioner_->TypeOf(m.type) == nullptr     ? "its type is not offered"
-                    : m.quarantine_count >= 2                     ? "fails the tasks it starts"
-                    : m.consolidating                             ? "emptied"
-                    : m.scale_in_when_empty && m.attempts.empty() ? "drained"
-                                                                  : nullptr;
-  if (why != nullptr) provisioner_->ScaleIn(mi, why);
+  if (machine.idle_since < 0) machine.idle_since = now;
+  const char* why = machine.preemption_at >= 0 ? "the cloud takes it, and it is empty"
+                    : provisioner_->TypeOf(machine.type) == nullptr ? "its type is not offered"
+                    : machine.quarantine_count >= 2                 ? "fails the tasks it starts"
+                    : machine.consolidating                         ? "emptied"
+                    : machine.scale_in_when_empty && machine.attempts.empty() ? "drained"
+                                                                              : nullptr;
+  if (why != nullptr) provisioner_->ScaleIn(machine_index, why);
   return why != nullptr;
 }
 
@@ -352,28 +359,29 @@
   const double now = clock_->Now();
   bool services_wait = false;
   double waiting = 0;
-  for (JobIndex j : job_store_->active_jobs()) {
-    const Job& job = (*job_store_)[j];
+  for (JobIndex job_index : job_store_->active_jobs()) {
+    const Job& job = (*job_store_)[job_index];
     if (job.waiting_tasks.empty() || now < job.backoff_until || !free_capacity_->HasTeamQuota(job))
       continue;
     services_wait = services_wait || job.spec.service;
     waiting += job.spec.cores * static_cast<double>(job.waiting_tasks.size());
   }
   double free_ordinary = free_capacity_->free_ordinary() + free_capacity_->preemptible_reserve();
-  for (MachineIndex mi : fleet_->active()) {
-    Machine& m = (*fleet_)[mi];
-    if (m.scaling_in || m.partitioned) continue;
-    const MachineType* type = provisioner_->TypeOf(m.type);
+  for (MachineIndex machine_index : fleet_->active()) {
+    Machine& machine = (*fleet_)[machine_index];
+    if (machine.scaling_in || machine.partitioned) continue;
+    const MachineType* type = provisioner_->TypeOf(machine.type);
     const double boot = type == nullptr ? 60 : type->boot_s;
-    if (ScaleInIfUseless(mi, boot)) continue;
-    const double idle = now - m.idle_since;
-    if (m.spot) {
-      if (idle > tuning_->idle_spot_boots * boot && waiting <= 0) provisioner_->ScaleIn(mi, "idle");
+    if (ScaleInIfUseless(machine_index, boot)) continue;
+    const double idle = now - machine.idle_since;
+    if (machine.spot) {
+      if (idle > tuning_->idle_spot_boots * boot && waiting <= 0)
+        provisioner_->ScaleIn(machine_index, "idle");
     } else if (idle > tuning_->idle_ordinary_boots * boot && !services_wait &&
                free_ordinary - type->cores >=
                    free_capacity_->headroom() + free_capacity_->planned_cores()) {
       free_ordinary -= type->cores;
-      provisioner_->ScaleIn(mi, "idle");
+      provisioner_->ScaleIn(machine_index, "idle");
     }
   }
 }
--- a/src/leader/autoscaler.h
+++ b/src/leader/autoscaler.h
@@ -26,9 +26,9 @@
   std::vector<ResourceDemand> CollectDemands(double* waiting);
   void ScaleOut();
   void ScaleInIdle();
-  bool ScaleInIfUseless(MachineIndex m, double boot);
+  bool ScaleInIfUseless(MachineIndex machine_index, double boot);
   void Consolidate();
-  void MoveOneReplica(MachineIndex m);
+  void MoveOneReplica(MachineIndex machine_index);
 
   JobStore* job_store_;
   Fleet* fleet_;
--- a/src/leader/election.cc
+++ b/src/leader/election.cc
@@ -11,14 +11,14 @@
 
 std::string EncodeLeaderKey(const ElectionOptions& o, uint64_t lease) {
   rapidjson::StringBuffer buffer;
-  JsonWriter w(buffer);
-  w.StartObject();
-  PutString(w, "label", o.label);
-  w.Key("instance");
-  w.Uint64(o.instance);
-  w.Key("lease");
-  w.Uint64(lease);
-  w.EndObject();
+  JsonWriter writer(buffer);
+  writer.StartObject();
+  PutString(writer, "label", o.label);
+  writer.Key("instance");
+  writer.Uint64(o.instance);
+  writer.Key("lease");
+  writer.Uint64(lease);
+  writer.EndObject();
   return buffer.GetString();
 }
 
@@ -55,27 +55,27 @@
 void Election::ReadLeaderKey() {
   call_in_flight_ = true;
   const uint64_t epoch = ++call_epoch_;
-  key_value_store_->Get(kKey, [this, epoch](const KeyValueResponse& answer) {
+  key_value_store_->Get(kKey, [this, epoch](const KeyValueResponse& response) {
     if (epoch != call_epoch_) return;
     call_in_flight_ = false;
-    HandleLeaderKey(answer);
+    HandleLeaderKey(response);
   });
 }
 
-void Election::HandleLeaderKey(const KeyValueResponse& answer) {
-  if (answer.status != KeyValueStatus::kOk) {
+void Election::HandleLeaderKey(const KeyValueResponse& response) {
+  if (response.status != KeyValueStatus::kOk) {
     RetryAfter(0.3);
     return;
   }
-  if (!answer.found) {
+  if (!response.found) {
     // Whoever led before does no more: every term so far is at most the revision.
     leader_label_.clear();
-    if (on_term_bound) on_term_bound(answer.number);
+    if (on_term_bound) on_term_bound(response.number);
     stage_ = Stage::kGrantingLease;
     RetryAfter(0.03);
     return;
   }
-  const KeyValue& row = answer.entries[0];
+  const KeyValue& row = response.entries[0];
   if (on_term_bound) on_term_bound(row.version);
   rapidjson::Document doc;
   std::string label;
@@ -114,17 +114,17 @@
   const uint64_t epoch = ++call_epoch_;
   const double began = clock_->Now();
   key_value_store_->Watch(kKey, revision, kWatchHoldMs,
-                          [this, epoch, began](const KeyValueResponse& answer) {
+                          [this, epoch, began](const KeyValueResponse& response) {
                             if (epoch != call_epoch_) return;
                             call_in_flight_ = false;
                             // Whatever came, the key itself says who holds it.
                             stage_ = Stage::kReadingKey;
                             const bool quick = clock_->Now() - began < 0.1;
-                            if (answer.status == KeyValueStatus::kOk && !quick) {
+                            if (response.status == KeyValueStatus::kOk && !quick) {
                               next_action_at_ = 0;
                               ReadLeaderKey();
                             } else {
-                              RetryAfter(answer.status == KeyValueStatus::kOk ? 0.05 : 0.3);
+                              RetryAfter(response.status == KeyValueStatus::kOk ? 0.05 : 0.3);
                             }
                           });
 }
@@ -134,15 +134,15 @@
   const uint64_t epoch = ++call_epoch_;
   const double sent = clock_->Now();
   key_value_store_->GrantLease(options_.lease_ttl_ms,
-                               [this, epoch, sent](const KeyValueResponse& answer) {
+                               [this, epoch, sent](const KeyValueResponse& response) {
                                  if (epoch != call_epoch_) return;
                                  call_in_flight_ = false;
-                                 if (answer.status != KeyValueStatus::kOk) {
+                                 if (response.status != KeyValueStatus::kOk) {
                                    stage_ = Stage::kReadingKey;
                                    RetryAfter(0.3);
                                    return;
                                  }
-                                 AcquireKey(answer.number, sent);
+                                 AcquireKey(response.number, sent);
                                });
 }
 
@@ -152,22 +152,22 @@
   lease_id_ = lease;
   lease_requested_at_ = sent;
   const uint64_t epoch = ++call_epoch_;
-  Transaction txn;
-  txn.preconditions.push_back({kKey, 0});
-  txn.mutations.push_back({kKey, EncodeLeaderKey(options_, lease), lease});
-  key_value_store_->Commit(txn, [this, epoch](const KeyValueResponse& answer) {
+  Transaction transaction;
+  transaction.preconditions.push_back({kKey, 0});
+  transaction.mutations.push_back({kKey, EncodeLeaderKey(options_, lease), lease});
+  key_value_store_->Commit(transaction, [this, epoch](const KeyValueResponse& response) {
     if (epoch != call_epoch_) return;
     call_in_flight_ = false;
-    if (answer.status == KeyValueStatus::kOk) {
+    if (response.status == KeyValueStatus::kOk) {
       lease_valid_until_ =
           lease_requested_at_ + options_.lease_ttl_ms / 1000.0 * (1 - options_.clock_drift);
-      BecomeLeader(answer.number);
+      BecomeLeader(response.number);
       return;
     }
     // Lost, or not known: the key tells. A claim that is applied late dies with
     // its lease, which nobody renews.
     stage_ = Stage::kReadingKey;
-    RetryAfter(answer.status == KeyValueStatus::kConflict ? 0.02 : 0.1);
+    RetryAfter(response.status == KeyValueStatus::kConflict ? 0.02 : 0.1);
   });
 }
 
@@ -192,13 +192,13 @@
   const uint64_t epoch = call_epoch_;
   key_value_store_->KeepAliveLease(
       lease_id_, options_.lease_ttl_ms / 1000.0 * 0.6,
-      [this, epoch, sent](const KeyValueResponse& a) {
+      [this, epoch, sent](const KeyValueResponse& response) {
         if (epoch != call_epoch_) return;
         --keep_alives_in_flight_;
-        if (a.status == KeyValueStatus::kOk) {
+        if (response.status == KeyValueStatus::kOk) {
           const double until = sent + options_.lease_ttl_ms / 1000.0 * (1 - options_.clock_drift);
           lease_valid_until_ = std::max(lease_valid_until_, until);
-        } else if (a.status == KeyValueStatus::kConflict) {
+        } else if (response.status == KeyValueStatus::kConflict) {
           LoseLeadership("the lease is gone");
         } else {
           next_action_at_ = std::min(next_action_at_, clock_->Now() + 0.15);
--- a/src/leader/election.h
+++ b/src/leader/election.h
@@ -54,7 +54,7 @@
   enum class Stage { kReadingKey, kWatchingKey, kGrantingLease, kAcquiringKey, kLeading };
 
   void ReadLeaderKey();
-  void HandleLeaderKey(const KeyValueResponse& answer);
+  void HandleLeaderKey(const KeyValueResponse& response);
   void WatchKey(uint64_t revision);
   void Campaign();
   void AcquireKey(uint64_t lease, double sent);
--- a/src/leader/free_capacity.h
+++ b/src/leader/free_capacity.h
@@ -22,18 +22,18 @@
 
   // Takes in what changed since the last call.
   void Refresh();
-  bool IsUsable(const Machine& m) const;
+  bool IsUsable(const Machine& machine) const;
   // Within what reports that come as they should leave between them.
-  bool IsHeardRecently(const Machine& m) const;
+  bool IsHeardRecently(const Machine& machine) const;
   // Whether the job could be on such a machine at all.
-  static bool MayRunOn(const Job& job, const Machine& m);
+  static bool MayRunOn(const Job& job, const Machine& machine);
   // By team index; unknown teams have none.
-  const Team* TeamOf(uint32_t team) const;
+  const Team* TeamOf(uint32_t team_index) const;
   // Whether the limit of its team leaves room for so many more tasks of the job.
   bool HasTeamQuota(const Job& job, size_t tasks = 1) const;
   // Cores the team may still use, a large number without a limit.
-  double TeamQuotaLeft(uint32_t team) const;
-  const ResourceUsage& UsageOf(uint32_t team) const { return usage_[team]; }
+  double TeamQuotaLeft(uint32_t team_index) const;
+  const ResourceUsage& UsageOf(uint32_t team_index) const { return usage_[team_index]; }
   // What a task of the job needs; the vectors must outlive it.
   ResourceRequest RequestFor(const Job& job, const std::vector<char>& zones,
                              const std::vector<uint32_t>& siblings) const;
@@ -59,10 +59,10 @@
   // Cores of all machines that are up.
   double total_cores() const { return total_cores_; }
   // Room for one task of the job there is kept from everybody else.
-  void ReserveRoom(MachineIndex m, const Job& job);
-  void ReleaseRoom(MachineIndex m, const Job& job);
+  void ReserveRoom(MachineIndex machine_index, const Job& job);
+  void ReleaseRoom(MachineIndex machine_index, const Job& job);
   // The machine's node, as it is now.
-  const MachineCapacity& Current(MachineIndex m);
+  const MachineCapacity& Current(MachineIndex machine_index);
   // Cores that drains will need elsewhere: machines that have them are not given back as idle.
   void SetPlannedCores(double cores) { planned_cores_ = cores; }
   double planned_cores() const { return planned_cores_; }
@@ -78,7 +78,7 @@
   uint64_t work_units = 0;
 
  private:
-  void RebuildCapacity(MachineIndex m);
+  void RebuildCapacity(MachineIndex machine_index);
   void CountUsage();
   double PartitionedServiceCores() const;
 
--- a/src/leader/gang_supervisor.cc
+++ b/src/leader/gang_supervisor.cc
@@ -23,36 +23,37 @@
                                const Clock* clock, const Settings* settings)
     : job_store_(job_store), fleet_(fleet), ranking_(ranking), clock_(clock), settings_(settings) {}
 
-void GangSupervisor::ForEachAttempt(JobIndex j, const Visit& visit) {
-  std::vector<uint32_t> machines = (*job_store_)[j].machines;
+void GangSupervisor::ForEachAttempt(JobIndex job_index, const Visit& visit) {
+  std::vector<uint32_t> machines = (*job_store_)[job_index].machines;
   std::sort(machines.begin(), machines.end());
   machines.erase(std::unique(machines.begin(), machines.end()), machines.end());
-  for (MachineIndex mi : machines) {
-    for (TaskAttempt& slot : (*fleet_)[mi].attempts) {
-      if (slot.job == j && !slot.released) visit(mi, &slot);
+  for (MachineIndex machine_index : machines) {
+    for (TaskAttempt& attempt : (*fleet_)[machine_index].attempts) {
+      if (attempt.job == job_index && !attempt.released) visit(machine_index, &attempt);
     }
   }
 }
 
-GangSupervisor::Attempt GangSupervisor::ObserveAttempt(JobIndex j) {
-  Attempt attempt;
-  ForEachAttempt(j, [&attempt](MachineIndex, TaskAttempt* slot) {
-    if (slot->wanted) attempt.number = std::max(attempt.number, slot->number);
+GangSupervisor::Attempt GangSupervisor::ObserveAttempt(JobIndex job_index) {
+  Attempt gang_attempt;
+  ForEachAttempt(job_index, [&gang_attempt](MachineIndex, TaskAttempt* attempt) {
+    if (attempt->wanted) gang_attempt.number = std::max(gang_attempt.number, attempt->number);
   });
-  ForEachAttempt(j, [&attempt](MachineIndex, TaskAttempt* slot) {
-    if (slot->number != attempt.number) return;
-    attempt.checkpointing = attempt.checkpointing || slot->state == TaskState::kCheckpointing;
-    if (slot->running_since < 0) return;
-    attempt.running_since = std::max(attempt.running_since, slot->running_since);
+  ForEachAttempt(job_index, [&gang_attempt](MachineIndex, TaskAttempt* attempt) {
+    if (attempt->number != gang_attempt.number) return;
+    gang_attempt.checkpointing =
+        gang_attempt.checkpointing || attempt->state == TaskState::kCheckpointing;
+    if (attempt->running_since < 0) return;
+    gang_attempt.running_since = std::max(gang_attempt.running_since, attempt->running_since);
   });
-  attempt.started = attempt.running_since >= 0 || attempt.checkpointing;
-  return attempt;
+  gang_attempt.started = gang_attempt.running_since >= 0 || gang_attempt.checkpointing;
+  return gang_attempt;
 }
 
-void GangSupervisor::HandleTaskExit(const TaskAttempt& slot) {
-  Job& job = (*job_store_)[slot.job];
-  if (!job.spec.gang || slot.number != job.gang_attempt) return;
-  switch (slot.exit_reason) {
+void GangSupervisor::HandleTaskExit(const TaskAttempt& attempt) {
+  Job& job = (*job_store_)[attempt.job];
+  if (!job.spec.gang || attempt.number != job.gang_attempt) return;
+  switch (attempt.exit_reason) {
     // Refused before it was there: another machine may take it.
     case ExitReason::kNoRoom:
     case ExitReason::kInUse:
@@ -64,16 +65,17 @@
   }
 }
 
-void GangSupervisor::StopAttempts(JobIndex j, double grace_s, const char* why) {
+void GangSupervisor::StopAttempts(JobIndex job_index, double grace_s, const char* why) {
   size_t stopped = 0;
-  ForEachAttempt(j, [this, grace_s, &stopped](MachineIndex mi, TaskAttempt* slot) {
-    if (!slot->wanted) return;
-    fleet_->RequestStop(mi, slot, grace_s);
-    ++stopped;
-  });
+  ForEachAttempt(job_index,
+                 [this, grace_s, &stopped](MachineIndex machine_index, TaskAttempt* attempt) {
+                   if (!attempt->wanted) return;
+                   fleet_->RequestStop(machine_index, attempt, grace_s);
+                   ++stopped;
+                 });
   if (stopped == 0) return;
   fleet_->placement_needed = true;
-  spdlog::info("stopping {} tasks of gang {}: {}", stopped, (*job_store_)[j].id, why);
+  spdlog::info("stopping {} tasks of gang {}: {}", stopped, (*job_store_)[job_index].id, why);
 }
 
 bool GangSupervisor::IsTooLateToComplete(const Job& job) const {
@@ -82,36 +84,39 @@
          now - job.gang_waiting_since > settings_->gang_wait_s - kLeastToGather;
 }
 
-void GangSupervisor::CheckGang(JobIndex j) {
-  Job& job = (*job_store_)[j];
-  const Attempt attempt = ObserveAttempt(j);
-  if (attempt.number == 0) return;
-  if (attempt.number != job.gang_attempt) {
+void GangSupervisor::CheckGang(JobIndex job_index) {
+  Job& job = (*job_store_)[job_index];
+  const Attempt gang_attempt = ObserveAttempt(job_index);
+  if (gang_attempt.number == 0) return;
+  if (gang_attempt.number != job.gang_attempt) {
     // Started by an earlier leader.
-    job.gang_attempt = attempt.number;
+    job.gang_attempt = gang_attempt.number;
     job.gang_waiting_since = clock_->Now();
     job.gang_started = job.gang_broken = false;
   }
-  job.gang_started = job.gang_started || attempt.started;
-  ForEachAttempt(j, [this, &attempt](MachineIndex mi, TaskAttempt* slot) {
-    // What is left of an attempt before never comes together again.
-    if (slot->wanted && slot->number != attempt.number) fleet_->RequestStop(mi, slot, 0);
-  });
-  if (attempt.checkpointing) {
+  job.gang_started = job.gang_started || gang_attempt.started;
+  ForEachAttempt(job_index,
+                 [this, &gang_attempt](MachineIndex machine_index, TaskAttempt* attempt) {
+                   // What is left of an attempt before never comes together again.
+                   if (attempt->wanted && attempt->number != gang_attempt.number)
+                     fleet_->RequestStop(machine_index, attempt, 0);
+                 });
+  if (gang_attempt.checkpointing) {
     // A stop that an earlier leader did not finish: all tasks must be told soon.
-    StopAttempts(j, job.spec.checkpoint_grace_s + kSaveMargin, "others of them save already");
+    StopAttempts(job_index, job.spec.checkpoint_grace_s + kSaveMargin,
+                 "others of them save already");
   } else if (job.gang_broken || (job.gang_started && !job.waiting_tasks.empty())) {
     // They would notice it later and end all the same.
-    StopAttempts(j, 0, "a task of the gang is gone");
+    StopAttempts(job_index, 0, "a task of the gang is gone");
   } else if (!job.waiting_tasks.empty() && IsTooLateToComplete(job)) {
-    StopAttempts(j, 0, "no room for a lost task in time");
+    StopAttempts(job_index, 0, "no room for a lost task in time");
   }
 }
 
 void GangSupervisor::CheckGangs() {
-  for (JobIndex j : job_store_->active_jobs()) {
-    const Job& job = (*job_store_)[j];
-    if (job.spec.gang && job.tasks_placed > 0) CheckGang(j);
+  for (JobIndex job_index : job_store_->active_jobs()) {
+    const Job& job = (*job_store_)[job_index];
+    if (job.spec.gang && job.tasks_placed > 0) CheckGang(job_index);
   }
 }
 
@@ -120,28 +125,29 @@
          spec.checkpoint_grace_s + kSaveMargin <= settings_->gang_loss_detection_s;
 }
 
-void GangSupervisor::StopGang(JobIndex j, const char* why) {
-  const JobSpec& spec = (*job_store_)[j].spec;
-  StopAttempts(j, CanCheckpoint(spec) ? spec.checkpoint_grace_s + kSaveMargin : 0, why);
+void GangSupervisor::StopGang(JobIndex job_index, const char* why) {
+  const JobSpec& spec = (*job_store_)[job_index].spec;
+  StopAttempts(job_index, CanCheckpoint(spec) ? spec.checkpoint_grace_s + kSaveMargin : 0, why);
 }
 
-void GangSupervisor::HandlePreemptionNotice(MachineIndex mi, TaskAttempt* slot,
+void GangSupervisor::HandlePreemptionNotice(MachineIndex machine_index, TaskAttempt* attempt,
                                             double seconds_left) {
-  const JobIndex j = slot->job;
-  const Job& job = (*job_store_)[j];
-  const Attempt attempt = ObserveAttempt(j);
+  const JobIndex job_index = attempt->job;
+  const Job& job = (*job_store_)[job_index];
+  const Attempt gang_attempt = ObserveAttempt(job_index);
   if (!job.gang_started) {
     // It is replaced while the others gather.
-    fleet_->RequestStop(mi, slot, 0);
+    fleet_->RequestStop(machine_index, attempt, 0);
     return;
   }
   const double sure = seconds_left * kSurePartOfNotice;
-  const double ran = attempt.running_since < 0 ? 0 : clock_->Now() - attempt.running_since;
+  const double ran =
+      gang_attempt.running_since < 0 ? 0 : clock_->Now() - gang_attempt.running_since;
   if (ranking_->ExpectedTaskSeconds(job) - ran < sure) return;
   const bool saves = CanCheckpoint(job.spec) && job.spec.checkpoint_grace_s + kSaveMargin < sure;
   // Without time to save the progress since the last checkpoint is lost either way: the
   // next attempt rather starts now.
-  StopAttempts(j, saves ? job.spec.checkpoint_grace_s + kSaveMargin : 0,
+  StopAttempts(job_index, saves ? job.spec.checkpoint_grace_s + kSaveMargin : 0,
                "the cloud takes one of its machines");
 }
 
--- a/src/leader/gang_supervisor.h
+++ b/src/leader/gang_supervisor.h
@@ -18,13 +18,14 @@
                  const Settings* settings);
 
   // A task of the gang ended there.
-  void HandleTaskExit(const TaskAttempt& slot);
+  void HandleTaskExit(const TaskAttempt& attempt);
   // Looks at all gangs that are on machines.
   void CheckGangs();
   // Stops all of the gang, with time to save if all of its tasks can.
-  void StopGang(JobIndex j, const char* why);
+  void StopGang(JobIndex job_index, const char* why);
   // The cloud takes a machine away that holds this task of a gang.
-  void HandlePreemptionNotice(MachineIndex mi, TaskAttempt* slot, double seconds_left);
+  void HandlePreemptionNotice(MachineIndex machine_index, TaskAttempt* attempt,
+                              double seconds_left);
 
  private:
   // What is known of the present attempt.
@@ -37,15 +38,15 @@
 
   using Visit = std::function<void(MachineIndex, TaskAttempt*)>;
   // Calls `visit` for each attempt of the job that takes room on a machine.
-  void ForEachAttempt(JobIndex j, const Visit& visit);
-  Attempt ObserveAttempt(JobIndex j);
-  void CheckGang(JobIndex j);
+  void ForEachAttempt(JobIndex job_index, const Visit& visit);
+  Attempt ObserveAttempt(JobIndex job_index);
+  void CheckGang(JobIndex job_index);
   // Whether all of it can save before its tasks notice that others are gone.
   bool CanCheckpoint(const JobSpec& spec) const;
   // A lost task is not replaced any more.
   bool IsTooLateToComplete(const Job& job) const;
   // Stops all of it that is still wanted.
-  void StopAttempts(JobIndex j, double grace_s, const char* why);
+  void StopAttempts(JobIndex job_index, double grace_s, const char* why);
 
   JobStore* job_store_;
   Fleet* fleet_;
--- a/src/leader/leader.cc
+++ b/src/leader/leader.cc
@@ -22,42 +22,43 @@
 constexpr int kAdmissionRetryAfterSeconds = 10;
 constexpr double kAdmissionLogIntervalSeconds = 60;
 
-RecordStoreLimits StoreLimitsFrom(const Settings& s) {
+RecordStoreLimits StoreLimitsFrom(const Settings& settings) {
   RecordStoreLimits l;
   // What is announced may come at any time: everything is kept within it from the start.
-  l.max_value_bytes = static_cast<size_t>(s.effective_state_limits.value_kb * 1024);
-  l.fill_bytes = static_cast<size_t>(s.effective_state_limits.value_kb * 1024 * kPageFillShare);
-  l.current_max_value_bytes = static_cast<size_t>(s.current_state_limits.value_kb * 1024);
-  l.max_transaction_ops = static_cast<size_t>(std::max(1, s.effective_state_limits.txn_ops));
-  l.write_burst = WriteBurst(s.effective_state_limits.write_rps);
+  l.max_value_bytes = static_cast<size_t>(settings.effective_state_limits.value_kb * 1024);
+  l.fill_bytes =
+      static_cast<size_t>(settings.effective_state_limits.value_kb * 1024 * kPageFillShare);
+  l.current_max_value_bytes = static_cast<size_t>(settings.current_state_limits.value_kb * 1024);
+  l.max_transaction_ops = static_cast<size_t>(std::max(1, settings.effective_state_limits.txn_ops));
+  l.write_burst = WriteBurst(settings.effective_state_limits.write_rps);
   return l;
 }
 
-FleetOptions FleetOptionsFrom(const Settings& s) {
+FleetOptions FleetOptionsFrom(const Settings& settings) {
   FleetOptions o;
-  o.lease_s = s.lease_s;
-  o.former_leader_grace_s = GracePeriodSeconds(s);
-  o.wall_clock_bound_s = s.wall_clock_bound_ms / 1000;
+  o.lease_s = settings.lease_s;
+  o.former_leader_grace_s = GracePeriodSeconds(settings);
+  o.wall_clock_bound_s = settings.wall_clock_bound_ms / 1000;
   return o;
 }
 
-ProvisionerOptions ProvisionerOptionsFrom(const Settings& s) {
+ProvisionerOptions ProvisionerOptionsFrom(const Settings& settings) {
   ProvisionerOptions o;
-  o.list_lag_s = s.cloud_lag_s;
-  o.list_interval_s = std::clamp(4 / s.cloud_rps, 2.0, 10.0);
+  o.list_lag_s = settings.cloud_lag_s;
+  o.list_interval_s = std::clamp(4 / settings.cloud_rps, 2.0, 10.0);
   return o;
 }
 
 }  // namespace
 
-double MessagesPerSecond(const Settings& s, const Tuning& t) {
-  return s.quota_cores * 1000 / t.worker_call_ms;
+double MessagesPerSecond(const Settings& settings, const Tuning& tuning) {
+  return settings.quota_cores * 1000 / tuning.worker_call_ms;
 }
 
 // A task whose cancellation another leader told of must be gone in cancel_s even
 // from a machine that only we still answered: hold and lease fit into it.
-double GracePeriodSeconds(const Settings& s) {
-  return std::max(0.0, (s.cancel_s - s.lease_s) * 0.9 - 1.5);
+double GracePeriodSeconds(const Settings& settings) {
+  return std::max(0.0, (settings.cancel_s - settings.lease_s) * 0.9 - 1.5);
 }
 
 Leader::Leader(const LeaderPorts& ports, const Settings* settings, const Tuning* tuning,
@@ -93,17 +94,17 @@
           MessagesPerSecond(*settings, *tuning) * tuning->probe_share,
           std::max(20.0, MessagesPerSecond(*settings, *tuning) * tuning->probe_share * 2)) {
   for (const std::string& z : settings->zones) job_store_.zones.Add(z);
-  for (const Team& t : settings->teams) job_store_.teams.Add(t.name);
+  for (const Team& candidate : settings->teams) job_store_.teams.Add(candidate.name);
   record_store_.on_commit = [this] { HandleCommit(); };
   record_store_.on_leadership_lost = [this] {
     if (on_leadership_lost) on_leadership_lost("a write met another term");
   };
-  fleet_.on_attempt_exited = [this](MachineIndex m, const TaskAttempt& s) {
-    HandleAttemptExit(m, s);
+  fleet_.on_attempt_exited = [this](MachineIndex machine_index, const TaskAttempt& attempt) {
+    HandleAttemptExit(machine_index, attempt);
   };
   fleet_.on_machine_reconciled = [this] { release_unreconciled_ = true; };
   fleet_.observer = &ledger_;
-  job_store_.on_lifecycle_change = [this](JobIndex j) { ledger_.JobChanged(j); };
+  job_store_.on_lifecycle_change = [this](JobIndex job_index) { ledger_.JobChanged(job_index); };
   placer_.on_refreshed = [this] { drainer_.PlaceReplacements(); };
 }
 
@@ -143,13 +144,13 @@
   hints_.FinishLoad();
   drainer_.FinishLoad();
   record_store_.SplitLargePages();
-  for (JobIndex j : job_store_.active_jobs()) {
-    Job& job = job_store_[j];
+  for (JobIndex job_index : job_store_.active_jobs()) {
+    Job& job = job_store_[job_index];
     job.remaining_core_seconds = job.stored_remaining_core_seconds >= 0
                                      ? job.stored_remaining_core_seconds
                                      : ranking_.RemainingCoreSeconds(job);
   }
-  for (MachineIndex m : fleet_.active()) fleet_.MarkChanged(m);
+  for (MachineIndex machine_index : fleet_.active()) fleet_.MarkChanged(machine_index);
   loaded_ = release_unreconciled_ = true;
   ApplyDisruptionPolicy(policy_, policy_confirmed_);
   next_save_ = now + tuning_->progress_save_s;
@@ -178,52 +179,52 @@
   return since + GracePeriodSeconds(*settings_);
 }
 
-JobResponse Leader::JobStatusResponse(JobIndex j, int status) const {
-  const Job& job = job_store_[j];
-  JobResponse r;
-  r.status = status;
-  r.tasks_done = job.tasks_done;
-  r.tasks_running = job.tasks_running;
-  r.state = job.tasks_running > 0 ? JobState::kRunning : JobState::kPending;
-  if (job.lifecycle == JobLifecycle::kActive) return r;
-  if (!job.end_acknowledged) return r;  // nobody was told of the end yet
-  r.state = job.lifecycle == JobLifecycle::kDone ? JobState::kDone : JobState::kCancelled;
-  r.tasks_running = 0;
-  return r;
+JobResponse Leader::JobStatusResponse(JobIndex job_index, int status) const {
+  const Job& job = job_store_[job_index];
+  JobResponse response;
+  response.status = status;
+  response.tasks_done = job.tasks_done;
+  response.tasks_running = job.tasks_running;
+  response.state = job.tasks_running > 0 ? JobState::kRunning : JobState::kPending;
+  if (job.lifecycle == JobLifecycle::kActive) return response;
+  if (!job.end_acknowledged) return response;  // nobody was told of the end yet
+  response.state = job.lifecycle == JobLifecycle::kDone ? JobState::kDone : JobState::kCancelled;
+  response.tasks_running = 0;
+  return response;
 }
 
-void Leader::HandleJobRequest(const JobRequest& ask, JobResponseCallback done) {
+void Leader::HandleJobRequest(const JobRequest& request, JobResponseCallback done) {
   if (!loaded_) {
     done(UnavailableResponse("taking over"));
     return;
   }
   const bool trusted = ports_.lease->IsLeaseValid();
-  const JobIndex j = job_store_.Find(ask.job_id);
+  const JobIndex job_index = job_store_.Find(request.job_id);
   // Final states never change: they may be told without the lease.
-  if (j != kNoIndex && job_store_[j].end_acknowledged) {
-    done(JobStatusResponse(j, 200));
+  if (job_index != kNoIndex && job_store_[job_index].end_acknowledged) {
+    done(JobStatusResponse(job_index, 200));
     return;
   }
   if (!trusted) {
     done(UnavailableResponse("the state service does not answer"));
     return;
   }
-  switch (ask.operation) {
+  switch (request.operation) {
     case JobOperation::kSubmit:
-      Submit(ask, std::move(done));
+      Submit(request, std::move(done));
       return;
     case JobOperation::kCancel:
-      Cancel(ask, std::move(done));
+      Cancel(request, std::move(done));
       return;
     case JobOperation::kGet:
       break;
   }
-  if (j == kNoIndex) {
+  if (job_index == kNoIndex) {
     done(UnknownJobResponse());
-  } else if (!job_store_[j].acknowledged) {
+  } else if (!job_store_[job_index].acknowledged) {
     done(UnavailableResponse("being accepted"));
   } else {
-    done(JobStatusResponse(j, 200));
+    done(JobStatusResponse(job_index, 200));
   }
 }
 
@@ -231,16 +232,16 @@
   // What an unreadable page held may have been accepted: it can't be denied.
   if (record_store_.unreadable_pages() > 0)
     return UnavailableResponse("a page of the state service can't be read");
-  JobResponse r;
-  r.status = 404;
-  r.error = "no such job";
-  return r;
+  JobResponse response;
+  response.status = 404;
+  response.error = "no such job";
+  return response;
 }
 
 std::string Leader::InfeasibleReason(const JobSpec& spec) const {
   const Team* team = nullptr;
-  for (const Team& t : settings_->teams) {
-    if (t.name == spec.team) team = &t;
+  for (const Team& candidate : settings_->teams) {
+    if (candidate.name == spec.team) team = &candidate;
   }
   if (team == nullptr) return "unknown team";
   const double n = spec.service || spec.gang ? spec.task_count : 1;
@@ -250,17 +251,17 @@
   if (team->gpus_max > 0 && spec.gpus * n > team->gpus_max + 1e-6) {
     return "more gpus than the team's limit";
   }
-  for (const MachineType& t : provisioner_.types()) {
+  for (const MachineType& type : provisioner_.types()) {
     if (spec.allowed_types && std::find(spec.allowed_types->begin(), spec.allowed_types->end(),
-                                        t.name) == spec.allowed_types->end()) {
+                                        type.name) == spec.allowed_types->end()) {
       continue;
     }
     if (!spec.zone.empty() &&
-        std::find(t.zones.begin(), t.zones.end(), spec.zone) == t.zones.end()) {
+        std::find(type.zones.begin(), type.zones.end(), spec.zone) == type.zones.end()) {
       continue;
     }
-    if (spec.cores <= t.cores + 1e-6 && spec.gpus <= t.gpus + 1e-6 &&
-        spec.memory_gb <= t.memory_gb + 1e-6) {
+    if (spec.cores <= type.cores + 1e-6 && spec.gpus <= type.gpus + 1e-6 &&
+        spec.memory_gb <= type.memory_gb + 1e-6) {
       return "";
     }
   }
@@ -285,77 +286,77 @@
   return why;
 }
 
-void Leader::Submit(const JobRequest& ask, JobResponseCallback done) {
-  JobIndex j = job_store_.Find(ask.job_id);
-  if (j != kNoIndex && job_store_[j].acknowledged) {
-    done(JobStatusResponse(j, 200));
+void Leader::Submit(const JobRequest& request, JobResponseCallback done) {
+  JobIndex job_index = job_store_.Find(request.job_id);
+  if (job_index != kNoIndex && job_store_[job_index].acknowledged) {
+    done(JobStatusResponse(job_index, 200));
     return;
   }
-  if (j == kNoIndex) {
-    JobResponse r;
-    if (!ask.validation_error.empty()) {
-      r.status = 400;
-      r.error = ask.validation_error;
-      done(r);
+  if (job_index == kNoIndex) {
+    JobResponse response;
+    if (!request.validation_error.empty()) {
+      response.status = 400;
+      response.error = request.validation_error;
+      done(response);
       return;
     }
     if (!provisioner_.types_known()) {
       done(UnavailableResponse("machine types are not known yet"));
       return;
     }
-    r.error = job_store_.FitsRecord(ask.job) ? InfeasibleReason(ask.job)
-                                             : "its description is too large to keep";
-    if (!r.error.empty()) {
-      r.status = 422;
-      done(r);
+    response.error = job_store_.FitsRecord(request.job) ? InfeasibleReason(request.job)
+                                                        : "its description is too large to keep";
+    if (!response.error.empty()) {
+      response.status = 422;
+      done(response);
       return;
     }
-    if (const char* full = AdmissionLimitReached(ask.job)) {
+    if (const char* full = AdmissionLimitReached(request.job)) {
       done(UnavailableResponse(full, kAdmissionRetryAfterSeconds));
       return;
     }
-    j = job_store_.Create(ask.job, ports_.clock->Wall());
-    Job& job = job_store_[j];
+    job_index = job_store_.Create(request.job, ports_.clock->Wall());
+    Job& job = job_store_[job_index];
     job.remaining_core_seconds = ranking_.RemainingCoreSeconds(job);
     job.waiting_since = job.starved_since = ports_.clock->Now();
     if (job.spec.service) free_capacity_.RecordServiceArrival(job);
     ranking_.Invalidate();
   }
   pending_responses_.push_back(
-      {j, JobOperation::kSubmit, std::move(done), 201, ports_.clock->Now()});
+      {job_index, JobOperation::kSubmit, std::move(done), 201, ports_.clock->Now()});
   record_store_.Flush();
 }
 
-void Leader::Cancel(const JobRequest& ask, JobResponseCallback done) {
-  const JobIndex j = job_store_.Find(ask.job_id);
-  if (j == kNoIndex) {
+void Leader::Cancel(const JobRequest& request, JobResponseCallback done) {
+  const JobIndex job_index = job_store_.Find(request.job_id);
+  if (job_index == kNoIndex) {
     done(UnknownJobResponse());
     return;
   }
-  if (!job_store_[j].acknowledged) {
+  if (!job_store_[job_index].acknowledged) {
     done(UnavailableResponse("being accepted"));
     return;
   }
-  if (job_store_[j].lifecycle == JobLifecycle::kActive) {
-    spdlog::info("job {} is cancelled by its user", ask.job_id);
+  if (job_store_[job_index].lifecycle == JobLifecycle::kActive) {
+    spdlog::info("job {} is cancelled by its user", request.job_id);
     // Its work is of no use from the moment its user asks.
-    job_store_.EndJob(j, JobLifecycle::kCancelled, ports_.clock->Now());
-    fleet_.RequestStopOfJob(j);
+    job_store_.EndJob(job_index, JobLifecycle::kCancelled, ports_.clock->Now());
+    fleet_.RequestStopOfJob(job_index);
     ranking_.Invalidate();
     fleet_.placement_needed = true;
   } else {
     // It has just ended: its user waits for that to be durable.
-    job_store_.Save(j, WritePriority::kImmediate);
+    job_store_.Save(job_index, WritePriority::kImmediate);
   }
   pending_responses_.push_back(
-      {j, JobOperation::kCancel, std::move(done), 200, ports_.clock->Now()});
+      {job_index, JobOperation::kCancel, std::move(done), 200, ports_.clock->Now()});
   record_store_.Flush();
 }
 
 void Leader::HandleCommit() {
-  for (JobIndex j : job_store_.active_jobs()) {
-    Job& job = job_store_[j];
-    if (!job.acknowledged && job_store_.IsDurable(j)) {
+  for (JobIndex job_index : job_store_.active_jobs()) {
+    Job& job = job_store_[job_index];
+    if (!job.acknowledged && job_store_.IsDurable(job_index)) {
       job.acknowledged = true;
       fleet_.placement_needed = true;
       spdlog::info("job {} accepted: {} of {}, {} tasks of {} cores, estimate {} s, deadline {} s",
@@ -363,30 +364,30 @@
                    job.spec.estimated_runtime_s, job.spec.deadline_s.value_or(0));
     }
   }
-  for (JobIndex j : job_store_.ended_jobs()) {
+  for (JobIndex job_index : job_store_.ended_jobs()) {
     // Once told it stays told: the row may be rewritten later, the answer may not
     // go back.
-    if (job_store_.IsDurable(j)) job_store_[j].end_acknowledged = true;
+    if (job_store_.IsDurable(job_index)) job_store_[job_index].end_acknowledged = true;
   }
   const bool trusted = ports_.lease->IsLeaseValid();
   std::vector<PendingResponse> ready;
   std::vector<PendingResponse> rest;
-  for (PendingResponse& w : pending_responses_) {
-    (job_store_.IsDurable(w.job) ? ready : rest).push_back(std::move(w));
+  for (PendingResponse& pending : pending_responses_) {
+    (job_store_.IsDurable(pending.job) ? ready : rest).push_back(std::move(pending));
   }
   pending_responses_ = std::move(rest);
-  for (PendingResponse& w : ready) {
-    Job& job = job_store_[w.job];
+  for (PendingResponse& pending : ready) {
+    Job& job = job_store_[pending.job];
     job.acknowledged = true;
     const bool final = job.lifecycle != JobLifecycle::kActive;
-    w.done(trusted || final ? JobStatusResponse(w.job, w.status)
-                            : UnavailableResponse("the lease ran out"));
+    pending.done(trusted || final ? JobStatusResponse(pending.job, pending.status)
+                                  : UnavailableResponse("the lease ran out"));
   }
 }
 
 void Leader::SaveRankingProgress() {
-  for (JobIndex j : job_store_.active_jobs()) {
-    Job& job = job_store_[j];
+  for (JobIndex job_index : job_store_.active_jobs()) {
+    Job& job = job_store_[job_index];
     if (job.spec.service || !job.acknowledged) continue;
     if (job.stored_remaining_core_seconds >= 0 &&
         std::abs(job.remaining_core_seconds - job.stored_remaining_core_seconds) <
@@ -394,7 +395,7 @@
       continue;
     }
     job.stored_remaining_core_seconds = job.remaining_core_seconds;
-    job_store_.Save(j, WritePriority::kBackground);
+    job_store_.Save(job_index, WritePriority::kBackground);
   }
 }
 
@@ -402,10 +403,10 @@
   const double now = ports_.clock->Now();
   const double keep = settings_->cancel_s + settings_->lease_s + GracePeriodSeconds(*settings_);
   const std::vector<JobIndex> ended_jobs = job_store_.ended_jobs();
-  for (JobIndex j : ended_jobs) {
-    Job& job = job_store_[j];
+  for (JobIndex job_index : ended_jobs) {
+    Job& job = job_store_[job_index];
     if (now - job.ended_at < keep || job.tasks_unreconciled > 0 || !job.end_acknowledged) continue;
-    if (job.attempt_count == 0) job_store_.DropSpec(j);
+    if (job.attempt_count == 0) job_store_.DropSpec(job_index);
   }
 }
 
@@ -413,8 +414,8 @@
   retired_ = true;
   loaded_ = false;
   record_store_.Stop();
-  for (PendingResponse& w : std::exchange(pending_responses_, {}))
-    w.done(UnavailableResponse("another node leads"));
+  for (PendingResponse& pending : std::exchange(pending_responses_, {}))
+    pending.done(UnavailableResponse("another node leads"));
 }
 
 void Leader::Tick() {
@@ -427,8 +428,8 @@
   const bool trusted = ports_.lease->IsLeaseValid();
   if (!trusted) {
     // What can't be made durable now is answered now; the user comes again.
-    for (PendingResponse& w : std::exchange(pending_responses_, {})) {
-      w.done(UnavailableResponse("the state service does not answer"));
+    for (PendingResponse& pending : std::exchange(pending_responses_, {})) {
+      pending.done(UnavailableResponse("the state service does not answer"));
     }
     record_store_.Flush();
     return;
--- a/src/leader/leader.h
+++ b/src/leader/leader.h
@@ -48,8 +48,8 @@
          const std::string& leader_key, uint64_t term);
 
   void Start();
-  void HandleJobRequest(const JobRequest& ask, JobResponseCallback done);
-  HeartbeatResponse HandleHeartbeat(const Heartbeat& report);
+  void HandleJobRequest(const JobRequest& request, JobResponseCallback done);
+  HeartbeatResponse HandleHeartbeat(const Heartbeat& heartbeat);
   void Tick();
   // The term is over: answers what waits and does nothing any more. Kept until
   // the last of its requests is answered.
@@ -85,39 +85,40 @@
 
   void Load();
   void HandleLoadedRecords(const std::vector<std::pair<RecordId, std::string>>& rows);
-  void Submit(const JobRequest& ask, JobResponseCallback done);
-  void Cancel(const JobRequest& ask, JobResponseCallback done);
-  JobResponse JobStatusResponse(JobIndex j, int status) const;
+  void Submit(const JobRequest& request, JobResponseCallback done);
+  void Cancel(const JobRequest& request, JobResponseCallback done);
+  JobResponse JobStatusResponse(JobIndex job_index, int status) const;
   JobResponse UnknownJobResponse() const;
   std::string InfeasibleReason(const JobSpec& spec) const;
   // The limit that stands against one more such job; null: none does.
   const char* AdmissionLimitReached(const JobSpec& spec);
   void HandleCommit();
   void ReleaseUnreconciledTasks();
-  void HandleAttemptExit(MachineIndex m, const TaskAttempt& slot);
-  void RecordTaskFailure(MachineIndex m, const TaskAttempt& slot);
-  void PushCommands(MachineIndex m);
-  void HandleCommandResponse(MachineIndex m, const WorkerResponse& answer, HeartbeatVersion asked);
+  void HandleAttemptExit(MachineIndex machine_index, const TaskAttempt& attempt);
+  void RecordTaskFailure(MachineIndex machine_index, const TaskAttempt& attempt);
+  void PushCommands(MachineIndex machine_index);
+  void HandleCommandResponse(MachineIndex machine_index, const WorkerResponse& response,
+                             HeartbeatVersion asked);
   void CheckLiveness();
   // Finds zones that are cut off from here, with all that runs there.
   void DetectPartitions();
   // Makes durable since when a machine behind a cut is not answered.
-  void RecordLeaseExpiryBound(MachineIndex m);
+  void RecordLeaseExpiryBound(MachineIndex machine_index);
   // Takes that back, once one of them is heard.
   void WithdrawLeaseExpiryBounds(uint32_t zone);
   // Nothing is said of the machine any more, also durably.
-  bool HasNoLeaseExpiryBound(MachineIndex m);
+  bool HasNoLeaseExpiryBound(MachineIndex machine_index);
   // A question to a machine was answered, or not.
-  void RecordProbeOutcome(const Machine& m, bool answered);
+  void RecordProbeOutcome(const Machine& machine, bool answered);
   // Its zone's controllers are not heard, or were not of late.
-  bool IsZoneSuspected(const Machine& m) const;
-  void CheckMachine(MachineIndex m);
-  void GiveUpIfDead(MachineIndex m);
-  void ProbeMachine(MachineIndex m, bool urgent);
+  bool IsZoneSuspected(const Machine& machine) const;
+  void CheckMachine(MachineIndex machine_index);
+  void GiveUpIfDead(MachineIndex machine_index);
+  void ProbeMachine(MachineIndex machine_index, bool urgent);
   // False when what the machine says can't be: it then changes nothing.
-  bool IsPlausible(const Heartbeat& report);
+  bool IsPlausible(const Heartbeat& heartbeat);
   void LogImplausibleHeartbeat(const std::string& machine, const char* why);
-  void HandlePreemptionNotice(MachineIndex m);
+  void HandlePreemptionNotice(MachineIndex machine_index);
   void SaveRankingProgress();
   void CollectEndedJobs();
   // Failures of services that run again.
--- a/src/leader/leader_cuts.cc
+++ b/src/leader/leader_cuts.cc
@@ -22,48 +22,50 @@
 
 }  // namespace
 
-void Leader::RecordLeaseExpiryBound(MachineIndex mi) {
+void Leader::RecordLeaseExpiryBound(MachineIndex machine_index) {
   // Should the next leader have to wait for its own beginning, our hold and a lease,
   // what runs behind the cut would be missing for that long.
-  Machine& m = fleet_[mi];
-  if (!m.reconciled || m.record_id == kNoRecord || !fleet_.KnowsCurrentTerm(m) ||
-      m.unrenewed_since_wall >= 0)
+  Machine& machine = fleet_[machine_index];
+  if (!machine.reconciled || machine.record_id == kNoRecord || !fleet_.KnowsCurrentTerm(machine) ||
+      machine.unrenewed_since_wall >= 0)
     return;
-  const double silent = ports_.clock->Now() - std::max(m.last_heard_at, m.lease_renewed_at);
-  m.unrenewed_since_wall = ports_.clock->Wall() - silent;
-  provisioner_.SaveMachine(mi, WritePriority::kBackground);
+  const double silent =
+      ports_.clock->Now() - std::max(machine.last_heard_at, machine.lease_renewed_at);
+  machine.unrenewed_since_wall = ports_.clock->Wall() - silent;
+  provisioner_.SaveMachine(machine_index, WritePriority::kBackground);
 }
 
 void Leader::WithdrawLeaseExpiryBounds(uint32_t zone) {
-  for (MachineIndex mi : fleet_.active()) {
-    Machine& m = fleet_[mi];
-    if (m.zone != zone || m.unrenewed_since_wall < 0) continue;
-    m.unrenewed_since_wall = -1;
-    m.withdrawing_expiry_bound = true;
-    provisioner_.SaveMachine(mi, WritePriority::kImmediate);
+  for (MachineIndex machine_index : fleet_.active()) {
+    Machine& machine = fleet_[machine_index];
+    if (machine.zone != zone || machine.unrenewed_since_wall < 0) continue;
+    machine.unrenewed_since_wall = -1;
+    machine.withdrawing_expiry_bound = true;
+    provisioner_.SaveMachine(machine_index, WritePriority::kImmediate);
   }
 }
 
-bool Leader::HasNoLeaseExpiryBound(MachineIndex mi) {
-  Machine& m = fleet_[mi];
-  if (m.withdrawing_expiry_bound && record_store_.IsDurable(m.record_id))
-    m.withdrawing_expiry_bound = false;
-  return m.unrenewed_since_wall < 0 && !m.withdrawing_expiry_bound;
+bool Leader::HasNoLeaseExpiryBound(MachineIndex machine_index) {
+  Machine& machine = fleet_[machine_index];
+  if (machine.withdrawing_expiry_bound && record_store_.IsDurable(machine.record_id))
+    machine.withdrawing_expiry_bound = false;
+  return machine.unrenewed_since_wall < 0 && !machine.withdrawing_expiry_bound;
 }
 
-bool Leader::IsZoneSuspected(const Machine& m) const {
-  return m.zone != kNoIndex && ports_.is_zone_suspected &&
-         ports_.is_zone_suspected(job_store_.zones[m.zone]);
+bool Leader::IsZoneSuspected(const Machine& machine) const {
+  return machine.zone != kNoIndex && ports_.is_zone_suspected &&
+         ports_.is_zone_suspected(job_store_.zones[machine.zone]);
 }
 
 // A machine already known to be silent, or behind a cut, says nothing new about the way: many such,
 // kept behind a cut, would otherwise make the leader doubt itself.
-void Leader::RecordProbeOutcome(const Machine& m, bool answered) {
+void Leader::RecordProbeOutcome(const Machine& machine, bool answered) {
   if (answered) {
     recent_responses_ += 1;
     timeouts_in_a_row_ = 0;
     last_response_at_ = ports_.clock->Now();
-  } else if (m.probe_failures == 0 && m.command_failures == 0 && !IsZoneSuspected(m)) {
+  } else if (machine.probe_failures == 0 && machine.command_failures == 0 &&
+             !IsZoneSuspected(machine)) {
     recent_timeouts_ += 1;
     ++timeouts_in_a_row_;
   }
@@ -79,13 +81,13 @@
     size_t in_time = 0;
   };
   std::vector<Count> count(job_store_.zones.size());
-  for (MachineIndex mi : fleet_.active()) {
-    const Machine& m = fleet_[mi];
+  for (MachineIndex machine_index : fleet_.active()) {
+    const Machine& machine = fleet_[machine_index];
     // Those that ever reported, under whichever leader.
-    if (m.zone == kNoIndex || m.scaling_in || m.endpoint.empty()) continue;
-    ++count[m.zone].known;
-    if (now - m.last_heard_at < window) ++count[m.zone].heard;
-    if (now - m.last_heard_at < overdue) ++count[m.zone].in_time;
+    if (machine.zone == kNoIndex || machine.scaling_in || machine.endpoint.empty()) continue;
+    ++count[machine.zone].known;
+    if (now - machine.last_heard_at < window) ++count[machine.zone].heard;
+    if (now - machine.last_heard_at < overdue) ++count[machine.zone].in_time;
   }
   partitioned_zones_.resize(job_store_.zones.size(), 0);
   const std::vector<char> before = partitioned_zones_;
@@ -93,7 +95,7 @@
     const std::string& name = job_store_.zones[z];
     const auto known = static_cast<double>(count[z].known);
     const bool watched = std::any_of(settings_->siblings.begin(), settings_->siblings.end(),
-                                     [&name](const Peer& p) { return p.site == name; });
+                                     [&name](const Peer& peer) { return peer.site == name; });
     const bool guarded = watched && !(ports_.is_zone_suspected && ports_.is_zone_suspected(name));
     const bool by_window = watched && count[z].known >= kMinZoneMachinesForWindow;
     const auto heard = static_cast<double>(by_window ? count[z].heard : count[z].in_time);
@@ -115,13 +117,13 @@
     }
   }
   free_capacity_.SetPartitionedZones(partitioned_zones_);
-  for (MachineIndex mi : fleet_.active()) {
-    Machine& m = fleet_[mi];
-    const bool cut =
-        m.zone != kNoIndex && partitioned_zones_[m.zone] != 0 && now - m.last_heard_at >= window;
-    if (cut != m.partitioned) m.capacity_stale = true;
-    if (cut && !m.partitioned) RecordLeaseExpiryBound(mi);
-    m.partitioned = cut;
+  for (MachineIndex machine_index : fleet_.active()) {
+    Machine& machine = fleet_[machine_index];
+    const bool cut = machine.zone != kNoIndex && partitioned_zones_[machine.zone] != 0 &&
+                     now - machine.last_heard_at >= window;
+    if (cut != machine.partitioned) machine.capacity_stale = true;
+    if (cut && !machine.partitioned) RecordLeaseExpiryBound(machine_index);
+    machine.partitioned = cut;
   }
   for (uint32_t z = 0; z < partitioned_zones_.size(); ++z) {
     if (partitioned_zones_[z] == 0 && before[z] != 0) WithdrawLeaseExpiryBounds(z);
--- a/src/leader/leader_machines.cc
+++ b/src/leader/leader_machines.cc
@@ -52,118 +52,119 @@
                implausible_heartbeats_);
 }
 
-bool Leader::IsPlausible(const Heartbeat& r) {
-  if (TermOf(r.fencing_token) > term_) {
+bool Leader::IsPlausible(const Heartbeat& heartbeat) {
+  if (TermOf(heartbeat.fencing_token) > term_) {
     // While our lease is trusted nobody can have begun a later term, so no
     // controller gave that token. Without it, somebody may have.
     if (ports_.lease->IsLeaseValid()) {
-      LogImplausibleHeartbeat(r.machine, "has a token that no controller gave");
+      LogImplausibleHeartbeat(heartbeat.machine, "has a token that no controller gave");
     } else if (on_leadership_lost) {
       on_leadership_lost("a worker has seen a higher token");
     }
     return false;
   }
-  const MachineIndex mi = fleet_.Find(r.machine);
-  if (mi == kNoIndex) return true;
-  const Machine& m = fleet_[mi];
-  if (m.type != kNoIndex && (job_store_.types.Find(r.type) != m.type || m.spot != r.spot ||
-                             job_store_.zones.Find(r.zone) != m.zone)) {
-    LogImplausibleHeartbeat(r.machine, "says it is of another type, zone or kind");
+  const MachineIndex machine_index = fleet_.Find(heartbeat.machine);
+  if (machine_index == kNoIndex) return true;
+  const Machine& machine = fleet_[machine_index];
+  if (machine.type != kNoIndex &&
+      (job_store_.types.Find(heartbeat.type) != machine.type || machine.spot != heartbeat.spot ||
+       job_store_.zones.Find(heartbeat.zone) != machine.zone)) {
+    LogImplausibleHeartbeat(heartbeat.machine, "says it is of another type, zone or kind");
     return false;
   }
   return true;
 }
 
-HeartbeatResponse Leader::HandleHeartbeat(const Heartbeat& r) {
-  HeartbeatResponse reply;
+HeartbeatResponse Leader::HandleHeartbeat(const Heartbeat& heartbeat) {
+  HeartbeatResponse response;
   const double now = ports_.clock->Now();
-  if (!IsPlausible(r)) {
-    reply.status = 421;
-    return reply;
+  if (!IsPlausible(heartbeat)) {
+    response.status = 421;
+    return response;
   }
   const bool trusted = ports_.lease->IsLeaseValid();
-  if (!loaded_ || (!trusted && now > HeartbeatGraceEnd())) return reply;
-  MachineIndex mi = fleet_.Find(r.machine);
-  if (mi == kNoIndex) {
-    if (!trusted) return reply;
-    mi = provisioner_.AddUnexpectedMachine(r);
+  if (!loaded_ || (!trusted && now > HeartbeatGraceEnd())) return response;
+  MachineIndex machine_index = fleet_.Find(heartbeat.machine);
+  if (machine_index == kNoIndex) {
+    if (!trusted) return response;
+    machine_index = provisioner_.AddUnexpectedMachine(heartbeat);
   }
   // A late copy from a machine that is gone.
-  if (fleet_[mi].removed) return reply;
-  if (!HasNoLeaseExpiryBound(mi)) {
-    if (trusted) WithdrawLeaseExpiryBounds(fleet_[mi].zone);
-    return reply;
+  if (fleet_[machine_index].removed) return response;
+  if (!HasNoLeaseExpiryBound(machine_index)) {
+    if (trusted) WithdrawLeaseExpiryBounds(fleet_[machine_index].zone);
+    return response;
   }
-  const bool fresh = fleet_.ApplyHeartbeat(mi, r);
-  Machine& m = fleet_[mi];
-  reply.status = 200;
-  reply.fencing_token = m.fencing_token;
+  const bool fresh = fleet_.ApplyHeartbeat(machine_index, heartbeat);
+  Machine& machine = fleet_[machine_index];
+  response.status = 200;
+  response.fencing_token = machine.fencing_token;
   if (!fresh) {
     // Overtaken by an answer to a command, or a late copy: it renews nothing here,
     // and gets no commands.
-    if (m.suspected) LogImplausibleHeartbeat(r.machine, "sent an old report");
+    if (machine.suspected) LogImplausibleHeartbeat(heartbeat.machine, "sent an old report");
     // To the worker it may be an answer that renews its lease all the same.
-    reply.commands = fleet_.BuildStopsOfEndedJobs(r);
-    return reply;
+    response.commands = fleet_.BuildStopsOfEndedJobs(heartbeat);
+    return response;
   }
-  if (m.endpoint != r.endpoint) {
-    m.endpoint = r.endpoint;
-    if (m.record_id != kNoRecord || m.registered)
-      provisioner_.SaveMachine(mi, WritePriority::kDeferred);
+  if (machine.endpoint != heartbeat.endpoint) {
+    machine.endpoint = heartbeat.endpoint;
+    if (machine.record_id != kNoRecord || machine.registered)
+      provisioner_.SaveMachine(machine_index, WritePriority::kDeferred);
   }
-  if (!m.reconciled) {
+  if (!machine.reconciled) {
     // Nothing is adopted before it has shown this term's token. But this answer renews
     // its lease, perhaps the last one before this leader ends: what was cancelled must
     // not live on by it.
-    reply.commands = fleet_.BuildStopsOfEndedJobs(r);
-    m.lease_renewed_at = now;
-    return reply;
+    response.commands = fleet_.BuildStopsOfEndedJobs(heartbeat);
+    machine.lease_renewed_at = now;
+    return response;
   }
   // Nobody named it before: kept once it has shown that it hears us. A late copy's
   // ghost never does.
-  if (m.record_id == kNoRecord && Fleet::HasAcknowledgedToken(m))
-    provisioner_.SaveMachine(mi, WritePriority::kDeferred);
-  if (m.command_in_flight || m.scaling_in) {
+  if (machine.record_id == kNoRecord && Fleet::HasAcknowledgedToken(machine))
+    provisioner_.SaveMachine(machine_index, WritePriority::kDeferred);
+  if (machine.command_in_flight || machine.scaling_in) {
     // What was sent straight may be lost on its way, again and again while the way is
     // blocked, and the cloud may be out: stops go with every report, or a cancelled
     // task could outlive its time.
-    reply.commands = fleet_.BuildStops(mi);
+    response.commands = fleet_.BuildStops(machine_index);
   } else {
     // Stops and clears need no lease; launches do.
-    reply.commands = fleet_.BuildCommands(mi, trusted);
-    reply.fencing_token = m.fencing_token;
+    response.commands = fleet_.BuildCommands(machine_index, trusted);
+    response.fencing_token = machine.fencing_token;
   }
-  m.lease_renewed_at = now;
-  return reply;
+  machine.lease_renewed_at = now;
+  return response;
 }
 
-void Leader::HandleAttemptExit(MachineIndex mi, const TaskAttempt& slot) {
-  Machine& m = fleet_[mi];
+void Leader::HandleAttemptExit(MachineIndex machine_index, const TaskAttempt& attempt) {
+  Machine& machine = fleet_[machine_index];
   const double now = ports_.clock->Now();
-  if (slot.job == kNoIndex) return;
-  Job& job = job_store_[slot.job];
-  gang_supervisor_.HandleTaskExit(slot);
-  switch (slot.exit_reason) {
+  if (attempt.job == kNoIndex) return;
+  Job& job = job_store_[attempt.job];
+  gang_supervisor_.HandleTaskExit(attempt);
+  switch (attempt.exit_reason) {
     case ExitReason::kDone:
-      m.task_failures = 0;
-      m.quarantine_count = 0;
+      machine.task_failures = 0;
+      machine.quarantine_count = 0;
       job.consecutive_failures = 0;
       job.failed_machines.clear();
-      if (slot.running_since >= 0) ranking_.RecordRuntime(job, now - slot.running_since);
+      if (attempt.running_since >= 0) ranking_.RecordRuntime(job, now - attempt.running_since);
       if (job.lifecycle != JobLifecycle::kActive) ranking_.Invalidate();
       break;
     case ExitReason::kNoRoom:
-      m.no_room_until = now + 2;
-      spdlog::info("machine {}: no room for {}", m.name, slot.task_name);
+      machine.no_room_until = now + 2;
+      spdlog::info("machine {}: no room for {}", machine.name, attempt.task_name);
       break;
     case ExitReason::kInUse:
     case ExitReason::kUnknown:
       job.backoff_until = std::max(job.backoff_until, now + 1);
-      spdlog::info("machine {}: {} refused ({})", m.name, slot.task_name,
-                   slot.exit_reason == ExitReason::kInUse ? "in use" : "unknown");
+      spdlog::info("machine {}: {} refused ({})", machine.name, attempt.task_name,
+                   attempt.exit_reason == ExitReason::kInUse ? "in use" : "unknown");
       break;
     case ExitReason::kError:
-      RecordTaskFailure(mi, slot);
+      RecordTaskFailure(machine_index, attempt);
       break;
     case ExitReason::kGangMemberLost:
     case ExitReason::kGangIncomplete:
@@ -175,30 +176,30 @@
 }
 
 // Either the job or the machine is at fault; where else the job failed tells which.
-void Leader::RecordTaskFailure(MachineIndex mi, const TaskAttempt& slot) {
-  Machine& m = fleet_[mi];
-  Job& job = job_store_[slot.job];
+void Leader::RecordTaskFailure(MachineIndex machine_index, const TaskAttempt& attempt) {
+  Machine& machine = fleet_[machine_index];
+  Job& job = job_store_[attempt.job];
   const double now = ports_.clock->Now();
   ++job.consecutive_failures;
   job.last_failure_at = now;
-  const bool new_place = std::find(job.failed_machines.begin(), job.failed_machines.end(), mi) ==
-                         job.failed_machines.end();
-  if (new_place) job.failed_machines.push_back(mi);
+  const bool new_place = std::find(job.failed_machines.begin(), job.failed_machines.end(),
+                                   machine_index) == job.failed_machines.end();
+  if (new_place) job.failed_machines.push_back(machine_index);
   if (job.failed_machines.size() > 16) job.failed_machines.erase(job.failed_machines.begin());
   // A job that fails wherever it goes says nothing about the machine.
-  if (job.failed_machines.size() <= 2 && new_place) ++m.task_failures;
+  if (job.failed_machines.size() <= 2 && new_place) ++machine.task_failures;
   if (job.consecutive_failures >= 3) {
     const double wait =
         std::min(60.0, std::pow(2.0, std::min<uint32_t>(job.consecutive_failures, 9) - 3));
     job.backoff_until = now + wait;
   }
-  spdlog::info("machine {}: {} failed (job {} in a row, machine {})", m.name, slot.task_name,
-               job.consecutive_failures, m.task_failures);
-  if (m.task_failures >= 2) {
-    m.task_failures = 0;
-    ++m.quarantine_count;
-    m.quarantined_until = now + 20.0 * m.quarantine_count;
-    spdlog::warn("machine {}: quarantined for {} s", m.name, 20 * m.quarantine_count);
+  spdlog::info("machine {}: {} failed (job {} in a row, machine {})", machine.name,
+               attempt.task_name, job.consecutive_failures, machine.task_failures);
+  if (machine.task_failures >= 2) {
+    machine.task_failures = 0;
+    ++machine.quarantine_count;
+    machine.quarantined_until = now + 20.0 * machine.quarantine_count;
+    spdlog::warn("machine {}: quarantined for {} s", machine.name, 20 * machine.quarantine_count);
   }
 }
 
@@ -206,23 +207,25 @@
   // A task not seen anywhere is free once no machine is left that it could be on.
   // Machines of one type, zone and kind are alike in this.
   std::vector<MachineIndex> kinds;
-  for (MachineIndex mi : fleet_.active()) {
-    const Machine& m = fleet_[mi];
-    if (!m.may_run_former_attempts || m.reconciled) continue;
-    const bool known = std::any_of(kinds.begin(), kinds.end(), [this, &m](MachineIndex k) {
-      return fleet_[k].type == m.type && fleet_[k].zone == m.zone && fleet_[k].spot == m.spot;
+  for (MachineIndex machine_index : fleet_.active()) {
+    const Machine& machine = fleet_[machine_index];
+    if (!machine.may_run_former_attempts || machine.reconciled) continue;
+    const bool known = std::any_of(kinds.begin(), kinds.end(), [this, &machine](MachineIndex k) {
+      return fleet_[k].type == machine.type && fleet_[k].zone == machine.zone &&
+             fleet_[k].spot == machine.spot;
     });
-    if (!known) kinds.push_back(mi);
+    if (!known) kinds.push_back(machine_index);
   }
   auto look = [this, &kinds](const std::vector<JobIndex>& list) {
-    for (JobIndex j : list) {
-      Job& job = job_store_[j];
+    for (JobIndex job_index : list) {
+      Job& job = job_store_[job_index];
       if (!job.has_spec || job.tasks_unreconciled == 0) continue;
       const bool possible = std::any_of(kinds.begin(), kinds.end(), [this, &job](MachineIndex k) {
         return FreeCapacity::MayRunOn(job, fleet_[k]);
       });
       if (possible) continue;
-      for (uint32_t t = 0; t < job.tasks.size(); ++t) job_store_.ReleaseUnreconciledTask(j, t);
+      for (uint32_t t = 0; t < job.tasks.size(); ++t)
+        job_store_.ReleaseUnreconciledTask(job_index, t);
       fleet_.placement_needed = true;
     }
   };
@@ -230,107 +233,113 @@
   look(job_store_.ended_jobs());
 }
 
-void Leader::PushCommands(MachineIndex mi) {
-  Machine& m = fleet_[mi];
+void Leader::PushCommands(MachineIndex machine_index) {
+  Machine& machine = fleet_[machine_index];
   ++examined_;
   // Answers come at any time, also past the lease: nothing is launched then.
   if (!ports_.lease->IsLeaseValid()) return;
   const double now = ports_.clock->Now();
-  if (m.command_in_flight || m.removed || m.scaling_in || m.endpoint.empty() ||
-      now < m.command_backoff_until)
+  if (machine.command_in_flight || machine.removed || machine.scaling_in ||
+      machine.endpoint.empty() || now < machine.command_backoff_until)
     return;
-  const bool greet = !m.reconciled && (m.may_run_former_attempts || m.up);
+  const bool greet = !machine.reconciled && (machine.may_run_former_attempts || machine.up);
   // A launch there could outlive what was said of its lease.
-  const bool launch = HasNoLeaseExpiryBound(mi);
-  if (!greet && (!m.up || !fleet_.HasCommands(mi, launch))) return;
-  std::vector<Command> commands = fleet_.BuildCommands(mi, launch);
-  if (commands.empty() && !greet && Fleet::HasAcknowledgedToken(m)) return;
-  m.command_in_flight = true;
+  const bool launch = HasNoLeaseExpiryBound(machine_index);
+  if (!greet && (!machine.up || !fleet_.HasCommands(machine_index, launch))) return;
+  std::vector<Command> commands = fleet_.BuildCommands(machine_index, launch);
+  if (commands.empty() && !greet && Fleet::HasAcknowledgedToken(machine)) return;
+  machine.command_in_flight = true;
   command_budget_.Take(now, 1, -1e9);
-  const HeartbeatVersion asked = fleet_.VersionOf(mi);
-  ports_.workers->SendCommands(m.endpoint, m.fencing_token, m.agent_epoch, commands,
-                               kCommandTimeoutSeconds,
-                               [this, mi, asked](const WorkerResponse& answer) {
-                                 if (!retired_) HandleCommandResponse(mi, answer, asked);
+  const HeartbeatVersion asked = fleet_.VersionOf(machine_index);
+  ports_.workers->SendCommands(machine.endpoint, machine.fencing_token, machine.agent_epoch,
+                               commands, kCommandTimeoutSeconds,
+                               [this, machine_index, asked](const WorkerResponse& response) {
+                                 if (!retired_)
+                                   HandleCommandResponse(machine_index, response, asked);
                                });
 }
 
-void Leader::HandleCommandResponse(MachineIndex mi, const WorkerResponse& answer,
+void Leader::HandleCommandResponse(MachineIndex machine_index, const WorkerResponse& response,
                                    HeartbeatVersion asked) {
-  Machine& m = fleet_[mi];
+  Machine& machine = fleet_[machine_index];
   const double now = ports_.clock->Now();
-  m.command_in_flight = false;
-  if (m.removed) return;
-  const bool named = answer.has_heartbeat && answer.heartbeat.machine == m.name;
-  RecordProbeOutcome(m, named);
+  machine.command_in_flight = false;
+  if (machine.removed) return;
+  const bool named = response.has_heartbeat && response.heartbeat.machine == machine.name;
+  RecordProbeOutcome(machine, named);
   if (!named) {
-    ++m.command_failures;
-    m.command_backoff_until =
-        now + std::min(4.0, 0.25 * std::pow(2.0, std::min(m.command_failures, 6)));
-    fleet_.RecordUnreachable(mi);
-    if (answer.has_heartbeat) LogImplausibleHeartbeat(m.name, "is not who answers at its address");
-    if (answer.sent) fleet_.FenceOffSentCommands(mi);
+    ++machine.command_failures;
+    machine.command_backoff_until =
+        now + std::min(4.0, 0.25 * std::pow(2.0, std::min(machine.command_failures, 6)));
+    fleet_.RecordUnreachable(machine_index);
+    if (response.has_heartbeat)
+      LogImplausibleHeartbeat(machine.name, "is not who answers at its address");
+    if (response.sent) fleet_.FenceOffSentCommands(machine_index);
     return;
   }
-  if (!IsPlausible(answer.heartbeat)) {
+  if (!IsPlausible(response.heartbeat)) {
     // Given up on when it stays so.
-    m.command_backoff_until = now + 4;
-    fleet_.RecordUnreachable(mi);
+    machine.command_backoff_until = now + 4;
+    fleet_.RecordUnreachable(machine_index);
     return;
   }
-  m.command_failures = 0;
-  if (answer.status == 409) m.command_backoff_until = now + 0.2;
-  fleet_.ApplyProbeResponse(mi, answer.heartbeat, asked);
-  if (m.record_id == kNoRecord && m.reconciled)
-    provisioner_.SaveMachine(mi, WritePriority::kDeferred);
-  PushCommands(mi);
+  machine.command_failures = 0;
+  if (response.status == 409) machine.command_backoff_until = now + 0.2;
+  fleet_.ApplyProbeResponse(machine_index, response.heartbeat, asked);
+  if (machine.record_id == kNoRecord && machine.reconciled)
+    provisioner_.SaveMachine(machine_index, WritePriority::kDeferred);
+  PushCommands(machine_index);
 }
 
-void Leader::ProbeMachine(MachineIndex mi, bool urgent) {
-  Machine& m = fleet_[mi];
+void Leader::ProbeMachine(MachineIndex machine_index, bool urgent) {
+  Machine& machine = fleet_[machine_index];
   const double now = ports_.clock->Now();
-  if (m.probe_in_flight || m.command_in_flight || m.endpoint.empty() || now < m.probe_backoff_until)
+  if (machine.probe_in_flight || machine.command_in_flight || machine.endpoint.empty() ||
+      now < machine.probe_backoff_until)
     return;
   // Half of the budget is kept for machines that are overdue.
   const double reserve =
       urgent ? 0 : MessagesPerSecond(*settings_, *tuning_) * tuning_->probe_share;
   if (!probe_budget_.Take(now, 1, reserve)) return;
-  m.probe_in_flight = true;
-  const HeartbeatVersion asked = fleet_.VersionOf(mi);
+  machine.probe_in_flight = true;
+  const HeartbeatVersion asked = fleet_.VersionOf(machine_index);
   ports_.workers->Probe(
-      m.endpoint, kProbeTimeoutSeconds, [this, mi, asked](const WorkerResponse& a) {
+      machine.endpoint, kProbeTimeoutSeconds,
+      [this, machine_index, asked](const WorkerResponse& response) {
         if (retired_) return;
-        Machine& machine = fleet_[mi];
-        machine.probe_in_flight = false;
-        if (machine.removed) return;
-        RecordProbeOutcome(machine, a.has_heartbeat);
-        if (!a.has_heartbeat || a.heartbeat.machine != machine.name || !IsPlausible(a.heartbeat)) {
-          ++machine.probe_failures;
+        Machine& probed = fleet_[machine_index];
+        probed.probe_in_flight = false;
+        if (probed.removed) return;
+        RecordProbeOutcome(probed, response.has_heartbeat);
+        if (!response.has_heartbeat || response.heartbeat.machine != probed.name ||
+            !IsPlausible(response.heartbeat)) {
+          ++probed.probe_failures;
           // Those known to be silent must not take the whole budget.
-          machine.probe_backoff_until =
+          probed.probe_backoff_until =
               ports_.clock->Now() +
               std::min(kMaxProbeBackoffSeconds,
-                       0.1 * std::pow(2.0, std::min(machine.unreachable_count, 6) - 1));
-          fleet_.RecordUnreachable(mi);
+                       0.1 * std::pow(2.0, std::min(probed.unreachable_count, 6) - 1));
+          fleet_.RecordUnreachable(machine_index);
           return;
         }
-        fleet_.ApplyProbeResponse(mi, a.heartbeat, asked);
+        fleet_.ApplyProbeResponse(machine_index, response.heartbeat, asked);
       });
 }
 
-void Leader::GiveUpIfDead(MachineIndex mi) {
-  Machine& m = fleet_[mi];
+void Leader::GiveUpIfDead(MachineIndex machine_index) {
+  Machine& machine = fleet_[machine_index];
   const double now = ports_.clock->Now();
-  const bool waited_for = m.may_run_former_attempts && !m.reconciled;
-  const double silent = now - std::max(m.last_heard_at, term_began_at_);
+  const bool waited_for = machine.may_run_former_attempts && !machine.reconciled;
+  const double silent = now - std::max(machine.last_heard_at, term_began_at_);
   // Behind a cut its tasks run on until its lease ends; returning it sooner would end
   // them before there is room elsewhere. What a former leader inside the cut answers
   // lives longer still; other former leaders' machines block what may be on them.
-  const bool answered_inside = m.zone != kNoIndex && !ports_.former_leader_zone.empty() &&
-                               job_store_.zones[m.zone] == ports_.former_leader_zone;
-  if (m.partitioned && (!waited_for || answered_inside || m.unrenewed_since_wall >= 0)) {
+  const bool answered_inside = machine.zone != kNoIndex && !ports_.former_leader_zone.empty() &&
+                               job_store_.zones[machine.zone] == ports_.former_leader_zone;
+  if (machine.partitioned &&
+      (!waited_for || answered_inside || machine.unrenewed_since_wall >= 0)) {
     if (silent > settings_->lease_s * kPartitionLeases && !waited_for) {
-      provisioner_.ScaleIn(mi, "silent behind a cut");
+      provisioner_.ScaleIn(machine_index, "silent behind a cut");
     }
     return;
   }
@@ -339,16 +348,16 @@
                                                         : tuning_->quick_death_s;
   // Behind a cut its worker first has to find another node, and probes from here
   // say nothing: returning it would kill what runs well.
-  const bool behind_cut = IsZoneSuspected(m);
+  const bool behind_cut = IsZoneSuspected(machine);
   // So does losing the way to the workers ourselves: those that reported here need
   // two timeouts to find another node.
   // A few machines that a new leader waits for hold up all that may be on them.
   const bool few_waited_for = waited_for && unreconciled_machines_ <= max_quick_deaths_;
   if ((behind_cut && !few_waited_for) || many_silent_)
     limit = std::max(limit, tuning_->partition_death_s);
-  if (silent > limit && m.probe_failures >= 2) {
+  if (silent > limit && machine.probe_failures >= 2) {
     // Returning it ends whatever it still holds: sooner than its lease would.
-    provisioner_.ScaleIn(mi, "silent");
+    provisioner_.ScaleIn(machine_index, "silent");
     last_death_at_ = now;
     return;
   }
@@ -356,41 +365,45 @@
   // Many such at once are rather a fault of the way, or of ourselves.
   limit = behind_cut ? std::max(tuning_->one_way_death_s, tuning_->partition_death_s)
                      : tuning_->one_way_death_s;
-  if (m.unreachable_since >= 0 && m.unreachable_count >= 3 && now - m.unreachable_since > limit &&
-      m.last_heard_at > m.unreachable_since && one_way_machines_ <= max_one_way_machines_) {
-    provisioner_.ScaleIn(mi, "deaf: it reports, but nothing reaches it");
+  if (machine.unreachable_since >= 0 && machine.unreachable_count >= 3 &&
+      now - machine.unreachable_since > limit &&
+      machine.last_heard_at > machine.unreachable_since &&
+      one_way_machines_ <= max_one_way_machines_) {
+    provisioner_.ScaleIn(machine_index, "deaf: it reports, but nothing reaches it");
   }
 }
 
-void Leader::CheckMachine(MachineIndex mi) {
-  Machine& m = fleet_[mi];
+void Leader::CheckMachine(MachineIndex machine_index) {
+  Machine& machine = fleet_[machine_index];
   const double now = ports_.clock->Now();
-  const bool waited_for = m.may_run_former_attempts && !m.reconciled;
-  if (!m.up && !waited_for) return;
+  const bool waited_for = machine.may_run_former_attempts && !machine.reconciled;
+  if (!machine.up && !waited_for) return;
   // Also while its return waits for the cloud.
-  if (!m.attempts.empty() && m.reconciled && fleet_.IsLeaseExpired(m, now, term_began_at_)) {
-    fleet_.ReleaseAttempts(mi, "its lease ran out");
+  if (!machine.attempts.empty() && machine.reconciled &&
+      fleet_.IsLeaseExpired(machine, now, term_began_at_)) {
+    fleet_.ReleaseAttempts(machine_index, "its lease ran out");
   }
-  if (waited_for && fleet_.IsLeaseExpired(m, now, term_began_at_)) {
-    spdlog::info("machine {}: its lease under the former leader surely ran out", m.name);
-    fleet_.MarkReconciled(mi);
+  if (waited_for && fleet_.IsLeaseExpired(machine, now, term_began_at_)) {
+    spdlog::info("machine {}: its lease under the former leader surely ran out", machine.name);
+    fleet_.MarkReconciled(machine_index);
   }
-  if (m.scaling_in) return;
+  if (machine.scaling_in) return;
   // What is wanted there and could not be told, or must be told again.
-  if (now >= m.command_backoff_until && (!m.reconciled || fleet_.HasCommands(mi, true)))
-    fleet_.MarkChanged(mi);
-  const double silent = now - std::max(m.last_heard_at, term_began_at_);
+  if (now >= machine.command_backoff_until &&
+      (!machine.reconciled || fleet_.HasCommands(machine_index, true)))
+    fleet_.MarkChanged(machine_index);
+  const double silent = now - std::max(machine.last_heard_at, term_began_at_);
   const double overdue = HeartbeatOverdueSeconds(*settings_);
   const double often =
-      m.active_attempts > 0 ? probe_interval_s_ : std::max(tuning_->silent_after_s, overdue);
-  const bool urgent = m.suspected || m.unreachable_since >= 0 || silent > overdue;
+      machine.active_attempts > 0 ? probe_interval_s_ : std::max(tuning_->silent_after_s, overdue);
+  const bool urgent = machine.suspected || machine.unreachable_since >= 0 || silent > overdue;
   // Reports alone don't show that it hears. Asked in time, it can be given up before
   // its lease ends what runs there.
   const bool unproven =
-      m.active_attempts > 0 && now - m.last_acknowledged_at > settings_->lease_s / 3;
+      machine.active_attempts > 0 && now - machine.last_acknowledged_at > settings_->lease_s / 3;
   if (!urgent && !unproven && silent < std::min(often, overdue)) return;
-  GiveUpIfDead(mi);
-  if (!m.scaling_in) ProbeMachine(mi, urgent);
+  GiveUpIfDead(machine_index);
+  if (!machine.scaling_in) ProbeMachine(machine_index, urgent);
 }
 
 void Leader::CheckLiveness() {
@@ -399,14 +412,14 @@
   size_t up = 0;
   size_t busy = 0;
   silent_machines_ = one_way_machines_ = unreconciled_machines_ = 0;
-  for (MachineIndex mi : fleet_.active()) {
-    const Machine& m = fleet_[mi];
-    if (m.may_run_former_attempts && !m.reconciled) ++unreconciled_machines_;
-    if (m.scaling_in || !m.up) continue;
+  for (MachineIndex machine_index : fleet_.active()) {
+    const Machine& machine = fleet_[machine_index];
+    if (machine.may_run_former_attempts && !machine.reconciled) ++unreconciled_machines_;
+    if (machine.scaling_in || !machine.up) continue;
     ++up;
-    if (m.active_attempts > 0) ++busy;
-    if (m.probe_failures > 0) ++silent_machines_;
-    if (m.unreachable_since >= 0 && m.unreachable_count >= 2) ++one_way_machines_;
+    if (machine.active_attempts > 0) ++busy;
+    if (machine.probe_failures > 0) ++silent_machines_;
+    if (machine.unreachable_since >= 0 && machine.unreachable_count >= 2) ++one_way_machines_;
   }
   examined_ += fleet_.active().size();
   const auto fleet = static_cast<double>(up);
@@ -444,9 +457,9 @@
   probe_interval_s_ = static_cast<double>(busy) / rate;
   if (now - last_death_at_ < kFasterProbeSeconds) probe_interval_s_ /= kFasterProbeFactor;
   probe_interval_s_ = std::max(tuning_->probe_interval_s, probe_interval_s_);
-  for (MachineIndex mi : fleet_.active()) {
-    CheckMachine(mi);
-    if (fleet_[mi].preemption_at >= 0) HandlePreemptionNotice(mi);
+  for (MachineIndex machine_index : fleet_.active()) {
+    CheckMachine(machine_index);
+    if (fleet_[machine_index].preemption_at >= 0) HandlePreemptionNotice(machine_index);
   }
   gang_supervisor_.CheckGangs();
   drainer_.Tick();
@@ -456,8 +469,8 @@
 
 void Leader::ResetProvenServices() {
   const double now = ports_.clock->Now();
-  for (JobIndex j : job_store_.active_jobs()) {
-    Job& job = job_store_[j];
+  for (JobIndex job_index : job_store_.active_jobs()) {
+    Job& job = job_store_[job_index];
     if (!job.spec.service || job.consecutive_failures == 0) continue;
     if (job.tasks_running > 0 && now - job.last_failure_at > kProvenAfterSeconds)
       job.consecutive_failures = 0;
@@ -468,24 +481,24 @@
   return unreachable_since_ < 0 ? 0 : ports_.clock->Now() - unreachable_since_;
 }
 
-void Leader::HandlePreemptionNotice(MachineIndex mi) {
-  Machine& m = fleet_[mi];
-  const double left = m.preemption_at - ports_.clock->Now();
-  for (TaskAttempt& s : m.attempts) {
-    if (s.released || !s.wanted || s.job == kNoIndex) continue;
-    const Job& job = job_store_[s.job];
+void Leader::HandlePreemptionNotice(MachineIndex machine_index) {
+  Machine& machine = fleet_[machine_index];
+  const double left = machine.preemption_at - ports_.clock->Now();
+  for (TaskAttempt& attempt : machine.attempts) {
+    if (attempt.released || !attempt.wanted || attempt.job == kNoIndex) continue;
+    const Job& job = job_store_[attempt.job];
     if (job.spec.gang) {
-      gang_supervisor_.HandlePreemptionNotice(mi, &s, left);
+      gang_supervisor_.HandlePreemptionNotice(machine_index, &attempt, left);
       continue;
     }
     if (job.spec.checkpoint_interval_s > 0) {
       // The notice may be half as long as it says.
-      fleet_.RequestStop(mi, &s, job.spec.checkpoint_grace_s + 1);
+      fleet_.RequestStop(machine_index, &attempt, job.spec.checkpoint_grace_s + 1);
       continue;
     }
-    const double ran = s.running_since < 0 ? 0 : ports_.clock->Now() - s.running_since;
+    const double ran = attempt.running_since < 0 ? 0 : ports_.clock->Now() - attempt.running_since;
     if (job.spec.service || ranking_.ExpectedTaskSeconds(job) - ran > left)
-      fleet_.RequestStop(mi, &s, 0);
+      fleet_.RequestStop(machine_index, &attempt, 0);
   }
 }
 
