--- a/src/leader/placer.cc
+++ b/src/leader/placer.cc
@@ -33,8 +33,8 @@
 
 double Placer::FetchSeconds(const Job& job) const {
   double rate = 0;
-  for (const MachineType& t : provisioner_->types()) {
-    rate = rate == 0 ? t.fetch_gb_per_s : std::min(rate, t.fetch_gb_per_s);
+  for (const MachineType& type : provisioner_->types()) {
+    rate = rate == 0 ? type.fetch_gb_per_s : std::min(rate, type.fetch_gb_per_s);
   }
   return rate > 0 ? job.spec.image_gb / rate : 0;
 }
@@ -48,28 +48,29 @@
   return free_capacity_->headroom() * tuning_->headroom_reserved_share;
 }
 
-void Placer::PlaceOn(JobIndex j, uint32_t node, uint64_t attempt) {
-  Job& job = (*job_store_)[j];
+void Placer::PlaceOn(JobIndex job_index, uint32_t node, uint64_t attempt_number) {
+  Job& job = (*job_store_)[job_index];
   const bool passed = !job.spec.service && ranking_->IsStarved(job, clock_->Now());
-  fleet_->PlaceTask(node, j, job.waiting_tasks.back(), attempt, passed);
+  fleet_->PlaceTask(node, job_index, job.waiting_tasks.back(), attempt_number, passed);
   free_capacity_->Allocate(job, node);
   (*fleet_)[node].idle_since = -1;
 }
 
-bool Placer::FailedBefore(const ResourceRequest& need) const {
+bool Placer::FailedBefore(const ResourceRequest& request) const {
   return std::any_of(
-      failed_requests_.begin(), failed_requests_.end(), [&need](const FailedRequest& v) {
-        return need.cores + kEps >= v.cores && need.memory_gb + kEps >= v.memory_gb &&
-               need.gpus + kEps >= v.gpus &&
-               (v.zone == UINT32_MAX || v.zone == need.required_zone) &&
-               (v.spot_tolerant || !need.spot_tolerant) &&
-               (v.allowed_types == nullptr ||
-                (need.allowed_types != nullptr && *need.allowed_types == *v.allowed_types));
+      failed_requests_.begin(), failed_requests_.end(), [&request](const FailedRequest& failed) {
+        return request.cores + kEps >= failed.cores &&
+               request.memory_gb + kEps >= failed.memory_gb && request.gpus + kEps >= failed.gpus &&
+               (failed.zone == UINT32_MAX || failed.zone == request.required_zone) &&
+               (failed.spot_tolerant || !request.spot_tolerant) &&
+               (failed.allowed_types == nullptr ||
+                (request.allowed_types != nullptr &&
+                 *request.allowed_types == *failed.allowed_types));
       });
 }
 
-void Placer::PlaceTasks(JobIndex j, bool here, size_t most) {
-  Job& job = (*job_store_)[j];
+void Placer::PlaceTasks(JobIndex job_index, bool here, size_t most) {
+  Job& job = (*job_store_)[job_index];
   const double now = clock_->Now();
   if (!job.acknowledged || job.waiting_tasks.empty() || now < job.backoff_until) return;
   if (!free_capacity_->HasTeamQuota(job)) return;
@@ -78,12 +79,12 @@
   std::vector<uint32_t> on;
   if (job.spec.service || job.spec.single_zone || job.spec.anti_affinity) on = job.machines;
   if (!free_capacity_->AllowedZones(job, on, &zones)) return;
-  ResourceRequest need = free_capacity_->RequestFor(job, zones, on);
-  need.sibling_machines = &on;
-  need.cached_or_fetching_only = contended_ && !job.spec.service && !job.guaranteed &&
-                                 now - job.waiting_since < FetchPatienceSeconds(job);
-  need.cached_only = here;
-  if (FailedBefore(need)) return;
+  ResourceRequest request = free_capacity_->RequestFor(job, zones, on);
+  request.sibling_machines = &on;
+  request.cached_or_fetching_only = contended_ && !job.spec.service && !job.guaranteed &&
+                                    now - job.waiting_since < FetchPatienceSeconds(job);
+  request.cached_only = here;
+  if (FailedBefore(request)) return;
   // A job that keeps failing shows its worth with one task at a time. Replicas that run
   // have shown it: they never complete, and the missing ones would wait for ever.
   const uint32_t unproven =
@@ -96,21 +97,22 @@
   if (!ordinary() &&
       (!job.spec.spot_tolerant || free_capacity_->free_spot() + kEps < job.spec.cores))
     return;
-  BestFitQueue picker(&need, &free_capacity_->capacities(), open_machines_);
+  BestFitQueue picker(&request, &free_capacity_->capacities(), open_machines_);
   free_capacity_->work_units += open_machines_.size();
   size_t placed = 0;
   while (!job.waiting_tasks.empty() && placed < most && free_capacity_->HasTeamQuota(job)) {
     if (placed > 0 && !free_capacity_->AllowedZones(job, on, &zones)) break;
     const int at = picker.PopBest(ordinary());
     if (at < 0) {
-      if (placed == 0 && job.spec.service && !here && need.allowed_zones == nullptr) {
-        failed_requests_.push_back({need.cores, need.memory_gb, need.gpus, need.required_zone,
-                                    need.spot_tolerant, need.allowed_types});
+      if (placed == 0 && job.spec.service && !here && request.allowed_zones == nullptr) {
+        failed_requests_.push_back({request.cores, request.memory_gb, request.gpus,
+                                    request.required_zone, request.spot_tolerant,
+                                    request.allowed_types});
       }
       break;
     }
     on.push_back(static_cast<uint32_t>(at));
-    PlaceOn(j, static_cast<uint32_t>(at), fleet_->NewAttemptNumber());
+    PlaceOn(job_index, static_cast<uint32_t>(at), fleet_->NewAttemptNumber());
     picker.Reinsert(at);
     ++placed;
   }
@@ -118,45 +120,47 @@
 
 // Where the image is, a replica runs at once: there is room, or is made by stopping
 // arrays. The rest goes where the image must be fetched.
-void Placer::PlaceService(JobIndex j) {
-  const Job& job = (*job_store_)[j];
-  PlaceTasks(j, true, SIZE_MAX);
+void Placer::PlaceService(JobIndex job_index) {
+  const Job& job = (*job_store_)[job_index];
+  PlaceTasks(job_index, true, SIZE_MAX);
   if (job.waiting_tasks.empty()) return;
   size_t coming = 0;
-  Preemptor::RoomRequest request;
-  request.job = j;
+  Preemptor::RoomRequest room_request;
+  room_request.job = job_index;
   if (FetchSeconds(job) > tuning_->long_fetch_s) {
     // When many are lost at once, the next pass is far sooner than any fetch.
     if (preemption_.Exhausted()) {
       fleet_->placement_needed = true;
       return;
     }
-    request.max_places = job.waiting_tasks.size();
-    request.cached_image_only = true;
+    room_request.max_places = job.waiting_tasks.size();
+    room_request.cached_image_only = true;
     // To spare it the fetch, no more work is lost than the fetch would hold up.
-    request.max_loss_per_place = tuning_->preempt_for_image * FetchSeconds(job) * job.spec.cores;
-    coming = preemption_.MakeRoom(request);
+    room_request.max_loss_per_place =
+        tuning_->preempt_for_image * FetchSeconds(job) * job.spec.cores;
+    coming = preemption_.MakeRoom(room_request);
   }
   if (coming >= job.waiting_tasks.size()) return;
-  PlaceTasks(j, false, job.waiting_tasks.size() - coming);
+  PlaceTasks(job_index, false, job.waiting_tasks.size() - coming);
   if (job.waiting_tasks.size() <= coming) return;
   Preemptor::RoomRequest anywhere;
-  anywhere.job = j;
+  anywhere.job = job_index;
   anywhere.max_places = job.waiting_tasks.size() - coming;
   preemption_.MakeRoom(anywhere);
 }
 
 // Most of what runs ends soon by itself: only after a while is work thrown away.
-void Placer::PreemptForArray(JobIndex j) {
-  const Job& job = (*job_store_)[j];
+void Placer::PreemptForArray(JobIndex job_index) {
+  const Job& job = (*job_store_)[job_index];
   if (job.waiting_tasks.empty() || !job.guaranteed) return;
   if (clock_->Now() - job.waiting_since < tuning_->preempt_after_s) return;
-  Preemptor::RoomRequest request;
-  request.job = j;
-  request.max_places = job.waiting_tasks.size();
+  Preemptor::RoomRequest room_request;
+  room_request.job = job_index;
+  room_request.max_places = job.waiting_tasks.size();
   // Room that arrays may not take is not made for them.
-  request.allow_ordinary_machines = free_capacity_->free_ordinary() + kEps >= HeadroomReserve(job);
-  preemption_.MakeRoom(request);
+  room_request.allow_ordinary_machines =
+      free_capacity_->free_ordinary() + kEps >= HeadroomReserve(job);
+  preemption_.MakeRoom(room_request);
 }
 
 void Placer::PlaceWaitingTasks() {
@@ -170,12 +174,12 @@
   std::vector<JobIndex> services;
   double least = 1e9;
   double waiting = 0;
-  for (JobIndex j : job_store_->active_jobs()) {
-    const Job& job = (*job_store_)[j];
+  for (JobIndex job_index : job_store_->active_jobs()) {
+    const Job& job = (*job_store_)[job_index];
     if (job.waiting_tasks.empty() || !job.acknowledged) continue;
     least = std::min(least, job.spec.cores);
     if (job.spec.service) {
-      services.push_back(j);
+      services.push_back(job_index);
     } else {
       waiting += job.spec.cores * static_cast<double>(job.waiting_tasks.size());
     }
@@ -187,22 +191,22 @@
     return (*job_store_)[a].spec.priority > (*job_store_)[b].spec.priority;
   });
   preemption_.BeginServices();
-  for (JobIndex j : services) PlaceService(j);
+  for (JobIndex job_index : services) PlaceService(job_index);
   // Then the best-ranked array with a task that fits.
   contended_ = waiting > free_capacity_->free_ordinary() + free_capacity_->free_spot();
   preemption_.BeginArrays();
-  for (JobIndex j : ranking_->order()) {
-    const Job& job = (*job_store_)[j];
+  for (JobIndex job_index : ranking_->order()) {
+    const Job& job = (*job_store_)[job_index];
     if (job.lifecycle != JobLifecycle::kActive || job.waiting_tasks.empty()) continue;
     if (job.spec.gang) {
-      gangs_.Place(j, open_machines_);
+      gangs_.Place(job_index, open_machines_);
       continue;
     }
     // Once: with the next task it is again where its rank puts it.
     const bool passed = ranking_->IsStarved(job, now);
-    PlaceTasks(j, false, passed ? 1 : SIZE_MAX);
+    PlaceTasks(job_index, false, passed ? 1 : SIZE_MAX);
     if (passed && !ranking_->IsStarved(job, now)) ranking_->Invalidate();
-    PreemptForArray(j);
+    PreemptForArray(job_index);
   }
 }
 
--- a/src/leader/placer.h
+++ b/src/leader/placer.h
@@ -33,15 +33,15 @@
     const std::vector<char>* allowed_types;
   };
   // Places up to `most` waiting tasks; `here`: only where the image is already.
-  void PlaceTasks(JobIndex j, bool here, size_t most);
-  void PlaceService(JobIndex j);
-  void PreemptForArray(JobIndex j);
+  void PlaceTasks(JobIndex job_index, bool here, size_t most);
+  void PlaceService(JobIndex job_index);
+  void PreemptForArray(JobIndex job_index);
   // Seconds to fetch its image, on the slowest type.
   double FetchSeconds(const Job& job) const;
   double FetchPatienceSeconds(const Job& job) const;
   double HeadroomReserve(const Job& job) const;
-  bool FailedBefore(const ResourceRequest& need) const;
-  void PlaceOn(JobIndex j, uint32_t node, uint64_t attempt);
+  bool FailedBefore(const ResourceRequest& request) const;
+  void PlaceOn(JobIndex job_index, uint32_t node, uint64_t attempt_number);
   JobStore* job_store_;
   Fleet* fleet_;
   FreeCapacity* free_capacity_;
--- a/src/leader/preemptor.h
+++ b/src/leader/preemptor.h
@@ -35,11 +35,11 @@
     bool allow_ordinary_machines = true;  // on ordinary machines too, not only on spot machines
   };
   // Makes room for single tasks; returns for how many it is on its way.
-  size_t MakeRoom(const RoomRequest& request);
+  size_t MakeRoom(const RoomRequest& room_request);
   // Makes room for the whole gang in one of the sets of zones, or stops nothing; of the
   // request, `most` and `ordinary` do not count. Returns the machines on which the room is,
   // or is on its way.
-  std::vector<MachineIndex> MakeGangRoom(const RoomRequest& request,
+  std::vector<MachineIndex> MakeGangRoom(const RoomRequest& room_request,
                                          const std::vector<std::vector<char>>& zone_sets);
 
  private:
@@ -51,18 +51,18 @@
   };
 
   bool MayPreempt(const Job& job);
-  bool MayStop(const Job& job, const TaskAttempt& slot) const;
+  bool MayStop(const Job& job, const TaskAttempt& attempt) const;
   // What is free there, with what is being stopped and without what is spoken for.
-  MachineCapacity FutureCapacity(MachineIndex mi) const;
+  MachineCapacity FutureCapacity(MachineIndex machine_index) const;
   // What stopping tasks for one more place would lose, in core-seconds; the attempts are added
   // to `chosen`. Negative: no room can be made.
-  double PreemptionLoss(const Job& job, const Machine& m, MachineCapacity* node,
+  double PreemptionLoss(const Job& job, const Machine& machine, MachineCapacity* capacity,
                         std::vector<size_t>* chosen) const;
   // Places for the gang's tasks on one machine, the cheapest first.
-  bool HasImage(const Job& job, const Machine& m) const;
-  void AddChoices(const Job& job, const ResourceRequest& need, MachineIndex mi,
+  bool HasImage(const Job& job, const Machine& machine) const;
+  void AddChoices(const Job& job, const ResourceRequest& request, MachineIndex machine_index,
                   std::vector<Choice>* out) const;
-  void Claim(MachineIndex mi, const ResourceRequest& need);
+  void Claim(MachineIndex machine_index, const ResourceRequest& request);
   // Whether the budgets allow what has to be stopped for these places. A guarantee is kept
   // whatever the budgets say.
   bool WithinBudgets(const Job& job, const std::vector<Choice>& choices) const;
--- a/src/leader/ranking.cc
+++ b/src/leader/ranking.cc
@@ -15,18 +15,18 @@
 void Ranking::RecordRuntime(const Job& job, double run_s) {
   if (job.job_class >= classes_.size()) classes_.resize(job.job_class + 1);
   if (job.spec.estimated_runtime_s <= 0 || run_s <= 0) return;
-  ClassStats& c = classes_[job.job_class];
+  ClassStats& stats = classes_[job.job_class];
   const double x = std::log(std::clamp(run_s / job.spec.estimated_runtime_s, 0.05, 20.0));
-  c.weight = std::min(c.weight + 1, 200.0);
-  c.log_ratio += (x - c.log_ratio) / c.weight;
+  stats.weight = std::min(stats.weight + 1, 200.0);
+  stats.log_ratio += (x - stats.log_ratio) / stats.weight;
 }
 
 double Ranking::ExpectedTaskSeconds(const Job& job) const {
   double ratio = 1;
   if (job.job_class < classes_.size()) {
-    const ClassStats& c = classes_[job.job_class];
+    const ClassStats& stats = classes_[job.job_class];
     // The owners' word counts like ten finished tasks.
-    ratio = std::exp(c.log_ratio * c.weight / (c.weight + 10));
+    ratio = std::exp(stats.log_ratio * stats.weight / (stats.weight + 10));
   }
   return std::max(1.0, job.spec.estimated_runtime_s * ratio);
 }
@@ -45,8 +45,8 @@
     return x.id < y.id;
   });
   std::vector<ResourceUsage> sum(job_store_->teams.size());
-  for (JobIndex j : order) {
-    Job& job = (*job_store_)[j];
+  for (JobIndex job_index : order) {
+    Job& job = (*job_store_)[job_index];
     const Team* team = free_capacity_->TeamOf(job.team);
     ResourceUsage& s = sum[job.team];
     const auto n = static_cast<double>(job.tasks.size());
@@ -72,10 +72,10 @@
                             tuning_->weight_production};
   std::vector<JobIndex> arrays;
   std::vector<FspJob> run;
-  for (JobIndex j : job_store_->active_jobs()) {
-    Job& job = (*job_store_)[j];
+  for (JobIndex job_index : job_store_->active_jobs()) {
+    Job& job = (*job_store_)[job_index];
     if (job.spec.service) continue;
-    arrays.push_back(j);
+    arrays.push_back(job_index);
     if (job.remaining_core_seconds <= 0 && job.tasks_done > 0) {
       // Over in the imagined run and not in the real one. Unless it was only
       // kept waiting, its estimate was too low: it is measured anew, or it would
--- a/src/mesh/mesh.cc
+++ b/src/mesh/mesh.cc
@@ -24,9 +24,9 @@
       max_pending_calls_(max_pending),
       request_handler_(std::move(server)),
       term_freshness_(peers.size()) {
-  for (Peer& p : peers) {
+  for (Peer& peer : peers) {
     peers_.emplace_back();
-    peers_.back().peer = std::move(p);
+    peers_.back().peer = std::move(peer);
   }
 }
 
@@ -71,9 +71,9 @@
   if (!direct.empty()) return direct;
   const PeerState* best = nullptr;
   for (const PeerState& link : peers_) {
-    const PeerPing& p = link.last_ping;
-    if (!IsAlive(link) || p.leader.empty() || p.leader == label_) continue;
-    if (best == nullptr || p.term > best->last_ping.term) best = &link;
+    const PeerPing& ping = link.last_ping;
+    if (!IsAlive(link) || ping.leader.empty() || ping.leader == label_) continue;
+    if (best == nullptr || ping.term > best->last_ping.term) best = &link;
   }
   return best == nullptr ? std::string() : best->last_ping.leader;
 }
--- a/src/mesh/peer_connections.cc
+++ b/src/mesh/peer_connections.cc
@@ -25,9 +25,9 @@
       maintenance_timer_(loop, [this] { MaintainConnections(); }),
       flush_before_wait_(loop, [this] { Flush(); }),
       listener_(loop, listen, [this](std::unique_ptr<TcpConn> c) { Accept(std::move(c)); }) {
-  for (const Peer& p : peers) {
+  for (const Peer& peer : peers) {
     outbound_.push_back(std::make_unique<OutboundConnection>());
-    outbound_.back()->peer = p;
+    outbound_.back()->peer = peer;
     outbound_.back()->index = outbound_.size() - 1;
   }
 }
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -68,33 +68,33 @@
     Fail(c);
     return;
   }
-  HttpMessage m = c->parser.Take();
-  if (m.status < 200) return;
+  HttpMessage message = c->parser.Take();
+  if (message.status < 200) return;
   c->timer->Stop();
-  HttpResult r;
-  r.status = m.status;
-  r.sent = true;
-  r.retry_after_s = m.retry_after_s;
-  r.body = std::move(m.body);
+  HttpResult call_result;
+  call_result.status = message.status;
+  call_result.sent = true;
+  call_result.retry_after_s = message.retry_after_s;
+  call_result.body = std::move(message.body);
   Done done = std::move(c->done);
   c->done = nullptr;
-  if (m.keep_alive && !c->parser.InMessage()) {
+  if (message.keep_alive && !c->parser.InMessage()) {
     c->used_before = true;
     c->idle_since = loop_->Now();
     idle_[c->peer].push_back(c);
   } else {
     Drop(c);
   }
-  done(std::move(r));
+  done(std::move(call_result));
 }
 
 void HttpClient::Fail(Conn* c) {
-  HttpResult r;
-  r.sent = c->tcp->connected();
+  HttpResult call_result;
+  call_result.sent = c->tcp->connected();
   Done done = std::move(c->done);
   c->done = nullptr;
   Drop(c);
-  if (done) done(std::move(r));
+  if (done) done(std::move(call_result));
 }
 
 void HttpClient::Drop(Conn* c) {
--- a/src/sched/placement.cc
+++ b/src/sched/placement.cc
@@ -15,34 +15,34 @@
 
 }  // namespace
 
-bool SatisfiesConstraints(const ResourceRequest& need, uint32_t type, uint32_t zone, bool spot) {
-  if (spot && !need.spot_tolerant) return false;
-  if (need.required_zone != UINT32_MAX && need.required_zone != zone) return false;
-  if (need.allowed_types != nullptr &&
-      (type >= need.allowed_types->size() || (*need.allowed_types)[type] == 0)) {
+bool SatisfiesConstraints(const ResourceRequest& request, uint32_t type, uint32_t zone, bool spot) {
+  if (spot && !request.spot_tolerant) return false;
+  if (request.required_zone != UINT32_MAX && request.required_zone != zone) return false;
+  if (request.allowed_types != nullptr &&
+      (type >= request.allowed_types->size() || (*request.allowed_types)[type] == 0)) {
     return false;
   }
-  if (need.allowed_zones != nullptr &&
-      (zone >= need.allowed_zones->size() || (*need.allowed_zones)[zone] == 0)) {
+  if (request.allowed_zones != nullptr &&
+      (zone >= request.allowed_zones->size() || (*request.allowed_zones)[zone] == 0)) {
     return false;
   }
   return true;
 }
 
-bool Fits(const ResourceRequest& need, const MachineCapacity& node) {
-  return node.cores + kEps >= need.cores && node.gpus + kEps >= need.gpus &&
-         node.memory_gb + kEps >= need.memory_gb;
+bool Fits(const ResourceRequest& request, const MachineCapacity& capacity) {
+  return capacity.cores + kEps >= request.cores && capacity.gpus + kEps >= request.gpus &&
+         capacity.memory_gb + kEps >= request.memory_gb;
 }
 
 namespace {
 
 // Different images other than this one that the machine is fetching.
-int OtherFetches(const MachineCapacity& n, uint32_t image) {
+int OtherFetches(const MachineCapacity& capacity, uint32_t image) {
   int others = 0;
-  for (size_t i = 0; i < n.fetching_images.size(); ++i) {
-    const auto end = n.fetching_images.begin() + static_cast<ptrdiff_t>(i);
-    if (n.fetching_images[i] != image &&
-        std::find(n.fetching_images.begin(), end, n.fetching_images[i]) == end)
+  for (size_t i = 0; i < capacity.fetching_images.size(); ++i) {
+    const auto end = capacity.fetching_images.begin() + static_cast<ptrdiff_t>(i);
+    if (capacity.fetching_images[i] != image &&
+        std::find(capacity.fetching_images.begin(), end, capacity.fetching_images[i]) == end)
       ++others;
   }
   return others;
@@ -50,55 +50,59 @@
 
 // Seconds until it runs weigh most; then what the choice costs others.
 // False: it is no place for it now.
-bool PlacementCost(const ResourceRequest& need, const MachineCapacity& n, double* cost) {
-  const bool cached = Contains(n.cached_images, need.image);
+bool PlacementCost(const ResourceRequest& request, const MachineCapacity& capacity, double* cost) {
+  const bool cached = Contains(capacity.cached_images, request.image);
   // One fetch serves all tasks there that need the image.
-  const bool coming = !cached && Contains(&n.fetching_images, need.image);
+  const bool coming = !cached && Contains(&capacity.fetching_images, request.image);
   // A replica that must wait for a fetch waits anywhere: on a machine of its own it
   // brings the image to one more place where later ones start at once.
-  if (need.cached_or_fetching_only && !cached && !coming) return false;
-  if (need.cached_only && !cached) return false;
-  double fetch_s =
-      need.image_gb / std::max(n.fetch_gb_per_s, 1e-3) * (coming && !need.service ? 0.5 : 1.0);
+  if (request.cached_or_fetching_only && !cached && !coming) return false;
+  if (request.cached_only && !cached) return false;
+  double fetch_s = request.image_gb / std::max(capacity.fetch_gb_per_s, 1e-3) *
+                   (coming && !request.service ? 0.5 : 1.0);
   // Images fetched there at the same time share the rate.
-  if (need.service || need.gang) fetch_s *= 1 + OtherFetches(n, need.image);
-  if (need.overdue) {
+  if (request.service || request.gang) fetch_s *= 1 + OtherFetches(capacity, request.image);
+  if (request.overdue) {
     // Its start is late anyway. A machine that gets the image now can start
     // later replicas at once.
     *cost = cached ? fetch_s : 0;
   } else {
     *cost = cached ? 0 : fetch_s;
   }
-  if (Contains(need.failed_machines, n.machine)) *cost += 1000;
-  if (need.service) {
+  if (Contains(request.failed_machines, capacity.machine)) *cost += 1000;
+  if (request.service) {
     // Replicas apart: one machine lost then costs a service little.
-    if (need.sibling_machines != nullptr) {
-      *cost += 3.0 * static_cast<double>(std::count(need.sibling_machines->begin(),
-                                                    need.sibling_machines->end(), n.machine));
+    if (request.sibling_machines != nullptr) {
+      *cost +=
+          3.0 * static_cast<double>(std::count(request.sibling_machines->begin(),
+                                               request.sibling_machines->end(), capacity.machine));
     }
-  } else if (need.spot_tolerant && !n.spot) {
+  } else if (request.spot_tolerant && !capacity.spot) {
     *cost += 4.0;  // ordinary machines are kept for those that need them
   }
-  const double after = (n.cores - need.cores) / std::max(n.total_cores, 1.0);
+  const double after = (capacity.cores - request.cores) / std::max(capacity.total_cores, 1.0);
   // Services spread: each machine then holds many images and a little room, and
   // its loss costs little. Arrays pack, which leaves whole machines free.
-  *cost += need.service ? -0.5 * after : 0.5 * after;
+  *cost += request.service ? -0.5 * after : 0.5 * after;
   return true;
 }
 
-bool IsCandidate(const ResourceRequest& need, const MachineCapacity& n) {
-  return n.usable && SatisfiesConstraints(need, n.type, n.zone, n.spot) && Fits(need, n);
+bool IsCandidate(const ResourceRequest& request, const MachineCapacity& capacity) {
+  return capacity.usable &&
+         SatisfiesConstraints(request, capacity.type, capacity.zone, capacity.spot) &&
+         Fits(request, capacity);
 }
 
 }  // namespace
 
-BestFitQueue::BestFitQueue(const ResourceRequest* need, const std::vector<MachineCapacity>* nodes,
+BestFitQueue::BestFitQueue(const ResourceRequest* request,
+                           const std::vector<MachineCapacity>* nodes,
                            const std::vector<uint32_t>& open)
-    : request_(need), capacities_(nodes) {
+    : request_(request), capacities_(nodes) {
   for (uint32_t i : open) {
     double cost = 0;
-    const MachineCapacity& n = (*capacities_)[i];
-    if (IsCandidate(*request_, n) && PlacementCost(*request_, n, &cost))
+    const MachineCapacity& capacity = (*capacities_)[i];
+    if (IsCandidate(*request_, capacity) && PlacementCost(*request_, capacity, &cost))
       heap_.emplace_back(cost, i);
   }
   std::make_heap(heap_.begin(), heap_.end(), std::greater<>());
@@ -106,8 +110,8 @@
 
 void BestFitQueue::Push(uint32_t node) {
   double cost = 0;
-  const MachineCapacity& n = (*capacities_)[node];
-  if (!IsCandidate(*request_, n) || !PlacementCost(*request_, n, &cost)) return;
+  const MachineCapacity& capacity = (*capacities_)[node];
+  if (!IsCandidate(*request_, capacity) || !PlacementCost(*request_, capacity, &cost)) return;
   heap_.emplace_back(cost, node);
   std::push_heap(heap_.begin(), heap_.end(), std::greater<>());
 }
@@ -117,9 +121,9 @@
     std::pop_heap(heap_.begin(), heap_.end(), std::greater<>());
     const auto [cost, at] = heap_.back();
     heap_.pop_back();
-    const MachineCapacity& n = (*capacities_)[at];
+    const MachineCapacity& capacity = (*capacities_)[at];
     // Room only shrinks and zones only close while one job is served.
-    if (!(ordinary || n.spot) || !IsCandidate(*request_, n)) continue;
+    if (!(ordinary || capacity.spot) || !IsCandidate(*request_, capacity)) continue;
     cost_ = cost;
     return static_cast<int>(at);
   }
--- a/src/sched/placement.h
+++ b/src/sched/placement.h
@@ -48,14 +48,14 @@
   const std::vector<char>* allowed_zones = nullptr;         // by zone: may take one more; null: all
 };
 
-bool SatisfiesConstraints(const ResourceRequest& need, uint32_t type, uint32_t zone, bool spot);
-bool Fits(const ResourceRequest& need, const MachineCapacity& node);
+bool SatisfiesConstraints(const ResourceRequest& request, uint32_t type, uint32_t zone, bool spot);
+bool Fits(const ResourceRequest& request, const MachineCapacity& capacity);
 
 // Hands out the places for the tasks of one job, the best first. Looks at each
 // open node once; after that a task costs only the logarithm of their number.
 class BestFitQueue {
  public:
-  BestFitQueue(const ResourceRequest* need, const std::vector<MachineCapacity>* nodes,
+  BestFitQueue(const ResourceRequest* request, const std::vector<MachineCapacity>* nodes,
                const std::vector<uint32_t>& open);
 
   // The best node that fits now, or -1. Without `ordinary`, spot machines only.
--- a/src/sched/scale_out_plan.h
+++ b/src/sched/scale_out_plan.h
@@ -37,9 +37,9 @@
 
 // Packs the wants into `bins` (machines that have room or are booting; changed
 // by the packing), then into machines to rent.
-std::vector<ScaleOutDecision> PlanScaleOut(const std::vector<InstanceOffering>& offers,
+std::vector<ScaleOutDecision> PlanScaleOut(const std::vector<InstanceOffering>& offerings,
                                            std::vector<MachineCapacity> bins,
-                                           const std::vector<ResourceDemand>& wants,
+                                           const std::vector<ResourceDemand>& demands,
                                            int most_machines);
 
 }  // namespace deckhall
--- a/src/state/job_store.cc
+++ b/src/state/job_store.cc
@@ -55,7 +55,7 @@
   job.tasks.resize(job.spec.task_count);
 }
 
-bool JobStore::LoadRecord(RecordId row, const std::string& text) {
+bool JobStore::LoadRecord(RecordId record_id, const std::string& text) {
   rapidjson::Document doc;
   if (!ParseJson(text, &doc) || !doc.IsObject()) return false;
   std::string id;
@@ -64,7 +64,7 @@
     DoneTasksChunk bits;
     uint64_t part = 0;
     bits.job_id = id;
-    bits.record_id = row;
+    bits.record_id = record_id;
     JsonU64(doc, "p", &part);
     bits.part = static_cast<uint32_t>(part);
     JsonString(doc, "d", &bits.hex);
@@ -72,7 +72,7 @@
     return true;
   }
   Job job;
-  job.record_id = row;
+  job.record_id = record_id;
   job.acknowledged = job.accepted_in_earlier_term = true;
   JsonString(doc, "s", &state);
   job.lifecycle = state == "d"   ? JobLifecycle::kDone
@@ -98,12 +98,12 @@
 
 void JobStore::FinishLoad(double now, double wall) {
   for (const DoneTasksChunk& bits : loaded_chunks_) {
-    const JobIndex j = Find(bits.job_id);
-    if (j == kNoIndex || !jobs_[j].has_spec) {
+    const JobIndex job_index = Find(bits.job_id);
+    if (job_index == kNoIndex || !jobs_[job_index].has_spec) {
       if (bits.record_id != kNoRecord) record_store_->Remove(bits.record_id);
       continue;
     }
-    Job& job = jobs_[j];
+    Job& job = jobs_[job_index];
     if (bits.part > 0) {
       job.chunk_record_ids.resize(
           std::max<size_t>(job.chunk_record_ids.size(), ChunkCount(job.spec.task_count) - 1),
@@ -123,15 +123,15 @@
     }
   }
   loaded_chunks_.clear();
-  for (JobIndex j = 0; j < jobs_.size(); ++j) {
-    Job& job = jobs_[j];
+  for (JobIndex job_index = 0; job_index < jobs_.size(); ++job_index) {
+    Job& job = jobs_[job_index];
     if (!job.has_spec) continue;
     job.tasks_done = job.tasks_unreconciled = 0;
-    for (Task& t : job.tasks) {
-      if (t.phase == TaskPhase::kDone) {
+    for (Task& task : job.tasks) {
+      if (task.phase == TaskPhase::kDone) {
         ++job.tasks_done;
       } else {
-        t.phase = TaskPhase::kUnreconciled;
+        task.phase = TaskPhase::kUnreconciled;
         ++job.tasks_unreconciled;
       }
     }
@@ -140,10 +140,10 @@
     job.waiting_since = now;
     job.starved_since = now - std::max(0.0, wall - job.submitted_wall);
     if (job.lifecycle != JobLifecycle::kActive) {
-      ended_jobs_.push_back(j);
+      ended_jobs_.push_back(job_index);
       continue;
     }
-    active_jobs_.push_back(j);
+    active_jobs_.push_back(job_index);
     active_task_count_ += job.tasks.size();
   }
   EndGangsWithDoneTask(now);
@@ -153,15 +153,15 @@
 // they are done together, and none may start again.
 void JobStore::EndGangsWithDoneTask(double now) {
   const std::vector<JobIndex> live = active_jobs_;
-  for (JobIndex j : live) {
-    if (!jobs_[j].spec.gang || jobs_[j].tasks_done == 0) continue;
-    MarkAllTasksDone(j);
-    EndJob(j, JobLifecycle::kDone, now);
+  for (JobIndex job_index : live) {
+    if (!jobs_[job_index].spec.gang || jobs_[job_index].tasks_done == 0) continue;
+    MarkAllTasksDone(job_index);
+    EndJob(job_index, JobLifecycle::kDone, now);
   }
 }
 
 JobIndex JobStore::Create(const JobSpec& spec, double wall) {
-  const auto j = static_cast<JobIndex>(jobs_.size());
+  const auto job_index = static_cast<JobIndex>(jobs_.size());
   jobs_.emplace_back();
   Job& job = jobs_.back();
   job.id = spec.id;
@@ -169,44 +169,44 @@
   job.submitted_wall = wall;
   IndexNames(job);
   for (uint32_t i = spec.task_count; i-- > 0;) job.waiting_tasks.push_back(i);
-  index_[spec.id] = j;
-  active_jobs_.push_back(j);
+  index_[spec.id] = job_index;
+  active_jobs_.push_back(job_index);
   active_task_count_ += spec.task_count;
-  Save(j, WritePriority::kImmediate);
-  on_lifecycle_change(j);
-  return j;
+  Save(job_index, WritePriority::kImmediate);
+  on_lifecycle_change(job_index);
+  return job_index;
 }
 
 std::string JobStore::EncodeEndRecord(const Job& job) const {
   rapidjson::StringBuffer buffer;
-  JsonWriter w(buffer);
-  w.StartObject();
-  PutString(w, "s", job.lifecycle == JobLifecycle::kDone ? "d" : "c");
-  PutString(w, "x", job.id);
-  w.EndObject();
+  JsonWriter writer(buffer);
+  writer.StartObject();
+  PutString(writer, "s", job.lifecycle == JobLifecycle::kDone ? "d" : "c");
+  PutString(writer, "x", job.id);
+  writer.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
 }
 
 std::string JobStore::EncodeJobRecord(const Job& job) const {
   if (!job.has_spec) return EncodeEndRecord(job);
   rapidjson::StringBuffer buffer;
-  JsonWriter w(buffer);
-  w.SetMaxDecimalPlaces(3);
-  w.StartObject();
+  JsonWriter writer(buffer);
+  writer.SetMaxDecimalPlaces(3);
+  writer.StartObject();
   if (job.lifecycle != JobLifecycle::kActive)
-    PutString(w, "s", job.lifecycle == JobLifecycle::kDone ? "d" : "c");
-  w.Key("j");
-  WriteJob(w, job.spec);
-  w.Key("t");
-  w.Double(job.submitted_wall);
+    PutString(writer, "s", job.lifecycle == JobLifecycle::kDone ? "d" : "c");
+  writer.Key("j");
+  WriteJob(writer, job.spec);
+  writer.Key("t");
+  writer.Double(job.submitted_wall);
   if (!job.spec.service) {
-    w.Key("v");
-    w.Double(job.remaining_core_seconds);
+    writer.Key("v");
+    writer.Double(job.remaining_core_seconds);
   }
   const std::string hex = EncodeDoneBits(
       job.tasks, 0, std::min<uint32_t>(kTasksPerChunk, static_cast<uint32_t>(job.tasks.size())));
-  if (!hex.empty()) PutString(w, "d", hex);
-  w.EndObject();
+  if (!hex.empty()) PutString(writer, "d", hex);
+  writer.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
 }
 
@@ -215,13 +215,13 @@
   const std::string hex =
       EncodeDoneBits(job.tasks, part * kTasksPerChunk, std::min(size, (part + 1) * kTasksPerChunk));
   rapidjson::StringBuffer buffer;
-  JsonWriter w(buffer);
-  w.StartObject();
-  PutString(w, "b", job.id);
-  w.Key("p");
-  w.Uint(part);
-  PutString(w, "d", hex);
-  w.EndObject();
+  JsonWriter writer(buffer);
+  writer.StartObject();
+  PutString(writer, "b", job.id);
+  writer.Key("p");
+  writer.Uint(part);
+  PutString(writer, "d", hex);
+  writer.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
 }
 
@@ -243,78 +243,81 @@
   return RecordReserve(job, EncodeJobRecord(job)) <= record_store_->max_record_bytes();
 }
 
-void JobStore::Save(JobIndex j, WritePriority urgency) {
-  Job& job = jobs_[j];
+void JobStore::Save(JobIndex job_index, WritePriority priority) {
+  Job& job = jobs_[job_index];
   std::string text = EncodeJobRecord(job);
   // Accepted under larger limits: its end must be kept, its description need not.
   if (job.lifecycle != JobLifecycle::kActive && text.size() > record_store_->max_record_bytes())
     text = EncodeEndRecord(job);
   const size_t reserve = RecordReserve(job, text);
   if (job.record_id == kNoRecord) {
-    job.record_id = record_store_->Add(std::move(text), reserve, urgency);
+    job.record_id = record_store_->Add(std::move(text), reserve, priority);
   } else {
-    record_store_->Update(job.record_id, std::move(text), reserve, urgency);
+    record_store_->Update(job.record_id, std::move(text), reserve, priority);
   }
 }
 
-bool JobStore::IsDurable(JobIndex j) const { return record_store_->IsDurable(jobs_[j].record_id); }
+bool JobStore::IsDurable(JobIndex job_index) const {
+  return record_store_->IsDurable(jobs_[job_index].record_id);
+}
 
-bool JobStore::IsTaskDurable(JobIndex j, uint32_t task) const {
-  const Job& job = jobs_[j];
-  const uint32_t part = task / kTasksPerChunk;
+bool JobStore::IsTaskDurable(JobIndex job_index, uint32_t task_index) const {
+  const Job& job = jobs_[job_index];
+  const uint32_t part = task_index / kTasksPerChunk;
   if (part == 0 || !job.has_spec) return record_store_->IsDurable(job.record_id);
   return part <= job.chunk_record_ids.size() && job.chunk_record_ids[part - 1] != kNoRecord &&
          record_store_->IsDurable(job.chunk_record_ids[part - 1]);
 }
 
-double JobStore::SecondsPastDeadline(JobIndex j, double wall) const {
-  const Job& job = jobs_[j];
+double JobStore::SecondsPastDeadline(JobIndex job_index, double wall) const {
+  const Job& job = jobs_[job_index];
   if (!job.spec.deadline_s) return -1;
   return wall - job.submitted_wall - *job.spec.deadline_s;
 }
 
-void JobStore::MarkPlaced(JobIndex j, uint32_t task, MachineIndex machine, uint64_t attempt) {
-  Job& job = jobs_[j];
-  Task& t = job.tasks[task];
-  if (t.phase == TaskPhase::kUnreconciled) --job.tasks_unreconciled;
-  if (t.phase == TaskPhase::kWaiting) {
-    auto it = std::find(job.waiting_tasks.rbegin(), job.waiting_tasks.rend(), task);
+void JobStore::MarkPlaced(JobIndex job_index, uint32_t task_index, MachineIndex machine,
+                          uint64_t attempt_number) {
+  Job& job = jobs_[job_index];
+  Task& task = job.tasks[task_index];
+  if (task.phase == TaskPhase::kUnreconciled) --job.tasks_unreconciled;
+  if (task.phase == TaskPhase::kWaiting) {
+    auto it = std::find(job.waiting_tasks.rbegin(), job.waiting_tasks.rend(), task_index);
     if (it != job.waiting_tasks.rend()) job.waiting_tasks.erase(std::next(it).base());
   }
-  t.phase = TaskPhase::kPlaced;
-  t.machine = machine;
-  t.attempt = attempt;
+  task.phase = TaskPhase::kPlaced;
+  task.machine = machine;
+  task.attempt = attempt_number;
   ++job.tasks_placed;
 }
 
-void JobStore::MarkWaiting(JobIndex j, uint32_t task) {
-  Job& job = jobs_[j];
-  Task& t = job.tasks[task];
-  if (t.phase != TaskPhase::kPlaced) return;
-  t.phase = TaskPhase::kWaiting;
-  t.machine = kNoIndex;
-  t.attempt = 0;
+void JobStore::MarkWaiting(JobIndex job_index, uint32_t task_index) {
+  Job& job = jobs_[job_index];
+  Task& task = job.tasks[task_index];
+  if (task.phase != TaskPhase::kPlaced) return;
+  task.phase = TaskPhase::kWaiting;
+  task.machine = kNoIndex;
+  task.attempt = 0;
   --job.tasks_placed;
-  job.waiting_tasks.push_back(task);
+  job.waiting_tasks.push_back(task_index);
 }
 
-void JobStore::ReleaseUnreconciledTask(JobIndex j, uint32_t task) {
-  Job& job = jobs_[j];
-  Task& t = job.tasks[task];
-  if (t.phase != TaskPhase::kUnreconciled) return;
-  t.phase = TaskPhase::kWaiting;
+void JobStore::ReleaseUnreconciledTask(JobIndex job_index, uint32_t task_index) {
+  Job& job = jobs_[job_index];
+  Task& task = job.tasks[task_index];
+  if (task.phase != TaskPhase::kUnreconciled) return;
+  task.phase = TaskPhase::kWaiting;
   --job.tasks_unreconciled;
-  job.waiting_tasks.push_back(task);
+  job.waiting_tasks.push_back(task_index);
 }
 
-void JobStore::SetTaskDone(Job* job, uint32_t task) {
-  Task& t = job->tasks[task];
-  if (t.phase == TaskPhase::kDone) return;
-  if (t.phase == TaskPhase::kPlaced) --job->tasks_placed;
-  if (t.phase == TaskPhase::kUnreconciled) --job->tasks_unreconciled;
-  if (t.phase == TaskPhase::kWaiting) std::erase(job->waiting_tasks, task);
-  t.phase = TaskPhase::kDone;
-  t.machine = kNoIndex;
+void JobStore::SetTaskDone(Job* job, uint32_t task_index) {
+  Task& task = job->tasks[task_index];
+  if (task.phase == TaskPhase::kDone) return;
+  if (task.phase == TaskPhase::kPlaced) --job->tasks_placed;
+  if (task.phase == TaskPhase::kUnreconciled) --job->tasks_unreconciled;
+  if (task.phase == TaskPhase::kWaiting) std::erase(job->waiting_tasks, task_index);
+  task.phase = TaskPhase::kDone;
+  task.machine = kNoIndex;
   ++job->tasks_done;
 }
 
@@ -332,50 +335,52 @@
   }
 }
 
-void JobStore::MarkTaskDone(JobIndex j, uint32_t task) {
-  Job& job = jobs_[j];
-  if (job.tasks[task].phase == TaskPhase::kDone) return;
-  SetTaskDone(&job, task);
-  SaveChunk(&job, task / kTasksPerChunk);
+void JobStore::MarkTaskDone(JobIndex job_index, uint32_t task_index) {
+  Job& job = jobs_[job_index];
+  if (job.tasks[task_index].phase == TaskPhase::kDone) return;
+  SetTaskDone(&job, task_index);
+  SaveChunk(&job, task_index / kTasksPerChunk);
 }
 
-void JobStore::MarkAllTasksDone(JobIndex j) {
-  Job& job = jobs_[j];
+void JobStore::MarkAllTasksDone(JobIndex job_index) {
+  Job& job = jobs_[job_index];
   if (job.tasks_done == job.tasks.size()) return;
   job.waiting_tasks.clear();
-  for (uint32_t task = 0; task < job.tasks.size(); ++task) SetTaskDone(&job, task);
+  for (uint32_t task_index = 0; task_index < job.tasks.size(); ++task_index)
+    SetTaskDone(&job, task_index);
   for (uint32_t part = 1; part < ChunkCount(job.spec.task_count); ++part) SaveChunk(&job, part);
 }
 
-void JobStore::RemoveFrom(std::vector<JobIndex>* list, JobIndex j) {
-  list->erase(std::remove(list->begin(), list->end(), j), list->end());
+void JobStore::RemoveFrom(std::vector<JobIndex>* list, JobIndex job_index) {
+  list->erase(std::remove(list->begin(), list->end(), job_index), list->end());
 }
 
-void JobStore::EndJob(JobIndex j, JobLifecycle life, double now) {
-  Job& job = jobs_[j];
+void JobStore::EndJob(JobIndex job_index, JobLifecycle life, double now) {
+  Job& job = jobs_[job_index];
   if (job.lifecycle != JobLifecycle::kActive) return;
   job.lifecycle = life;
   job.ended_at = now;
-  RemoveFrom(&active_jobs_, j);
+  RemoveFrom(&active_jobs_, job_index);
   active_task_count_ -= job.tasks.size();
-  ended_jobs_.push_back(j);
-  Save(j, life == JobLifecycle::kCancelled ? WritePriority::kImmediate : WritePriority::kDeferred);
-  on_lifecycle_change(j);
+  ended_jobs_.push_back(job_index);
+  Save(job_index,
+       life == JobLifecycle::kCancelled ? WritePriority::kImmediate : WritePriority::kDeferred);
+  on_lifecycle_change(job_index);
 }
 
-void JobStore::DropSpec(JobIndex j) {
-  Job& job = jobs_[j];
-  RemoveFrom(&ended_jobs_, j);
+void JobStore::DropSpec(JobIndex job_index) {
+  Job& job = jobs_[job_index];
+  RemoveFrom(&ended_jobs_, job_index);
   job.has_spec = false;
   job.tasks = {};
   job.waiting_tasks = {};
   job.spec = JobSpec();
   job.tasks_unreconciled = job.tasks_placed = 0;
-  for (RecordId row : job.chunk_record_ids) {
-    if (row != kNoRecord) record_store_->Remove(row);
+  for (RecordId record_id : job.chunk_record_ids) {
+    if (record_id != kNoRecord) record_store_->Remove(record_id);
   }
   job.chunk_record_ids.clear();
-  Save(j, WritePriority::kBackground);
+  Save(job_index, WritePriority::kBackground);
 }
 
 }  // namespace deckhall
--- a/src/state/key_value_client.cc
+++ b/src/state/key_value_client.cc
@@ -26,9 +26,9 @@
       http_(loop, 16, kMaxResponseBytes),
       refusal_timer_(loop, [this] {
         for (Done& done : std::exchange(refused_calls_, {})) {
-          KeyValueResponse answer;
-          answer.status = KeyValueStatus::kUnavailable;
-          done(answer);
+          KeyValueResponse response;
+          response.status = KeyValueStatus::kUnavailable;
+          done(response);
         }
       }) {}
 
@@ -39,27 +39,28 @@
     return;
   }
   const std::string what = call.method + " " + call.path;
-  http_.Call(endpoint_, call,
-             [this, what, reader = std::move(reader), done = std::move(done)](const HttpResult& r) {
-               KeyValueResponse answer;
-               if (r.status == 0) {
-                 answer.status =
-                     r.sent ? KeyValueStatus::kIndeterminate : KeyValueStatus::kUnavailable;
-               } else if (r.status == 429 || r.status == 503) {
-                 answer.status = KeyValueStatus::kUnavailable;
-                 if (r.status == 429) requests_.Drain();
-               } else {
-                 reader(r, &answer);
-                 if (answer.status == KeyValueStatus::kIndeterminate) {
-                   spdlog::warn("state service: unusable answer {} to {}", r.status, what);
-                 }
-               }
-               done(std::move(answer));
-             });
+  http_.Call(
+      endpoint_, call,
+      [this, what, reader = std::move(reader), done = std::move(done)](const HttpResult& result) {
+        KeyValueResponse response;
+        if (result.status == 0) {
+          response.status =
+              result.sent ? KeyValueStatus::kIndeterminate : KeyValueStatus::kUnavailable;
+        } else if (result.status == 429 || result.status == 503) {
+          response.status = KeyValueStatus::kUnavailable;
+          if (result.status == 429) requests_.Drain();
+        } else {
+          reader(result, &response);
+          if (response.status == KeyValueStatus::kIndeterminate) {
+            spdlog::warn("state service: unusable answer {} to {}", result.status, what);
+          }
+        }
+        done(std::move(response));
+      });
 }
 
-void KeyValueClient::Commit(const Transaction& txn, Done done) {
-  const double puts = static_cast<double>(txn.mutations.size());
+void KeyValueClient::Commit(const Transaction& transaction, Done done) {
+  const double puts = static_cast<double>(transaction.mutations.size());
   // Bigger than the burst: waits until the bucket is full, then goes in debt.
   if (!writes_.Take(clock_->Now(), puts, -puts)) {
     refused_calls_.push_back(std::move(done));
@@ -72,32 +73,34 @@
       std::clamp(kSlowCommitFactor * smoothed_commit_s_, kMinCommitTimeoutSeconds, kTimeout);
   const double sent = clock_->Now();
   Send(
-      {"POST", "/txn", EncodeTransaction(txn), timeout}, 2,
-      [](const HttpResult& r, KeyValueResponse* a) {
-        if (r.status == 200 && DecodeRevision(r.body, &a->number)) a->status = KeyValueStatus::kOk;
-        if (r.status == 409) a->status = KeyValueStatus::kConflict;
-        if (r.status == 400) a->status = KeyValueStatus::kInvalid;
-        if (r.status == 400) spdlog::warn("state service refuses a transaction: {}", r.body);
+      {"POST", "/txn", EncodeTransaction(transaction), timeout}, 2,
+      [](const HttpResult& result, KeyValueResponse* response) {
+        if (result.status == 200 && DecodeRevision(result.body, &response->number))
+          response->status = KeyValueStatus::kOk;
+        if (result.status == 409) response->status = KeyValueStatus::kConflict;
+        if (result.status == 400) response->status = KeyValueStatus::kInvalid;
+        if (result.status == 400)
+          spdlog::warn("state service refuses a transaction: {}", result.body);
       },
-      [this, sent, done = std::move(done)](const KeyValueResponse& a) {
-        if (a.status != KeyValueStatus::kUnavailable) {
+      [this, sent, done = std::move(done)](const KeyValueResponse& response) {
+        if (response.status != KeyValueStatus::kUnavailable) {
           smoothed_commit_s_ += kCommitSmoothing * (clock_->Now() - sent - smoothed_commit_s_);
         }
-        done(a);
+        done(response);
       });
 }
 
 void KeyValueClient::Get(const std::string& key, Done done) {
   Send(
       {"GET", "/kv/" + key, "", kTimeout}, 2,
-      [](const HttpResult& r, KeyValueResponse* a) {
+      [](const HttpResult& result, KeyValueResponse* response) {
         KeyValue row;
-        if (r.status == 200 && DecodeKeyValue(r.body, &row)) {
-          a->status = KeyValueStatus::kOk;
-          a->found = true;
-          a->entries.push_back(std::move(row));
-        } else if (r.status == 404 && DecodeRevision(r.body, &a->number)) {
-          a->status = KeyValueStatus::kOk;
+        if (result.status == 200 && DecodeKeyValue(result.body, &row)) {
+          response->status = KeyValueStatus::kOk;
+          response->found = true;
+          response->entries.push_back(std::move(row));
+        } else if (result.status == 404 && DecodeRevision(result.body, &response->number)) {
+          response->status = KeyValueStatus::kOk;
         }
       },
       std::move(done));
@@ -108,9 +111,10 @@
   if (!after.empty()) path += "&from=" + after;
   Send(
       {"GET", path, "", kTimeout}, 2,
-      [](const HttpResult& r, KeyValueResponse* a) {
-        if (r.status == 200 && DecodeKeyValues(r.body, &a->entries, &a->truncated, &a->number)) {
-          a->status = KeyValueStatus::kOk;
+      [](const HttpResult& result, KeyValueResponse* response) {
+        if (result.status == 200 && DecodeKeyValues(result.body, &response->entries,
+                                                    &response->truncated, &response->number)) {
+          response->status = KeyValueStatus::kOk;
         }
       },
       std::move(done));
@@ -119,9 +123,9 @@
 void KeyValueClient::GrantLease(int ttl_ms, Done done) {
   Send(
       {"POST", "/grants", EncodeLeaseGrant(ttl_ms), kTimeout}, 1,
-      [](const HttpResult& r, KeyValueResponse* a) {
-        if (r.status == 200 && DecodeLeaseGrant(r.body, &a->number))
-          a->status = KeyValueStatus::kOk;
+      [](const HttpResult& result, KeyValueResponse* response) {
+        if (result.status == 200 && DecodeLeaseGrant(result.body, &response->number))
+          response->status = KeyValueStatus::kOk;
       },
       std::move(done));
 }
@@ -129,9 +133,9 @@
 void KeyValueClient::KeepAliveLease(uint64_t lease, double timeout_s, Done done) {
   Send(
       {"POST", "/grants/" + std::to_string(lease) + "/extend", "{}", timeout_s}, -rps_ * 0.1,
-      [](const HttpResult& r, KeyValueResponse* a) {
-        if (r.status == 200) a->status = KeyValueStatus::kOk;
-        if (r.status == 404) a->status = KeyValueStatus::kConflict;
+      [](const HttpResult& result, KeyValueResponse* response) {
+        if (result.status == 200) response->status = KeyValueStatus::kOk;
+        if (result.status == 404) response->status = KeyValueStatus::kConflict;
       },
       std::move(done));
 }
@@ -139,9 +143,9 @@
 void KeyValueClient::RevokeLease(uint64_t lease, Done done) {
   Send(
       {"DELETE", "/grants/" + std::to_string(lease), "", kTimeout}, 1,
-      [](const HttpResult& r, KeyValueResponse* a) {
-        if (r.status == 200 || r.status == 204) a->status = KeyValueStatus::kOk;
-        if (r.status == 404) a->status = KeyValueStatus::kConflict;
+      [](const HttpResult& result, KeyValueResponse* response) {
+        if (result.status == 200 || result.status == 204) response->status = KeyValueStatus::kOk;
+        if (result.status == 404) response->status = KeyValueStatus::kConflict;
       },
       std::move(done));
 }
@@ -151,9 +155,10 @@
                            "&hold_ms=" + std::to_string(hold_ms);
   Send(
       {"GET", path, "", hold_ms / 1000.0 + 3}, 2,
-      [](const HttpResult& r, KeyValueResponse* a) {
-        if (r.status == 200 && DecodeRevision(r.body, &a->number)) a->status = KeyValueStatus::kOk;
-        if (r.status == 410) a->status = KeyValueStatus::kConflict;
+      [](const HttpResult& result, KeyValueResponse* response) {
+        if (result.status == 200 && DecodeRevision(result.body, &response->number))
+          response->status = KeyValueStatus::kOk;
+        if (result.status == 410) response->status = KeyValueStatus::kConflict;
       },
       std::move(done));
 }
--- a/src/state/key_value_client.h
+++ b/src/state/key_value_client.h
@@ -18,7 +18,7 @@
  public:
   KeyValueClient(Loop* loop, const Clock* clock, Endpoint at, double rps, double write_rps);
 
-  void Commit(const Transaction& txn, Done done) override;
+  void Commit(const Transaction& transaction, Done done) override;
   void Get(const std::string& key, Done done) override;
   void List(const std::string& prefix, const std::string& after, Done done) override;
   void GrantLease(int ttl_ms, Done done) override;
--- a/src/state/key_value_store.h
+++ b/src/state/key_value_store.h
@@ -30,7 +30,7 @@
   using Done = std::function<void(KeyValueResponse)>;
   virtual ~KeyValueStore() = default;
 
-  virtual void Commit(const Transaction& txn, Done done) = 0;
+  virtual void Commit(const Transaction& transaction, Done done) = 0;
   virtual void Get(const std::string& key, Done done) = 0;
   virtual void List(const std::string& prefix, const std::string& after, Done done) = 0;
   virtual void GrantLease(int ttl_ms, Done done) = 0;
--- a/src/state/record_store.cc
+++ b/src/state/record_store.cc
@@ -47,28 +47,28 @@
 
 void RecordStore::LoadPagesAfter(const std::string& after, Loaded done) {
   key_value_store_->List(std::string(kPrefix), after,
-                         [this, done = std::move(done)](const KeyValueResponse& answer) {
-                           if (answer.status != KeyValueStatus::kOk) {
+                         [this, done = std::move(done)](const KeyValueResponse& response) {
+                           if (response.status != KeyValueStatus::kOk) {
                              done(false, {});
                              return;
                            }
-                           for (const KeyValue& kv : answer.entries) {
+                           for (const KeyValue& entry : response.entries) {
                              rapidjson::Document doc;
                              Page page;
-                             page.key = kv.key;
-                             page.version = kv.version;
+                             page.key = entry.key;
+                             page.version = entry.version;
                              // Pages may be missing in between: their transaction was never carried
                              // out. A number taken twice would make two pages overwrite each other.
-                             const std::string number = kv.key.substr(kPrefix.size());
+                             const std::string number = entry.key.substr(kPrefix.size());
                              uint64_t n = 0;
                              std::from_chars(number.data(), number.data() + number.size(), n);
                              next_page_number_ = std::max(next_page_number_, n + 1);
                              const auto index = static_cast<uint32_t>(pages_.size());
-                             if (ParseJson(kv.value, &doc) && doc.IsArray()) {
+                             if (ParseJson(entry.value, &doc) && doc.IsArray()) {
                                for (const auto& item : doc.GetArray()) {
                                  rapidjson::StringBuffer buffer;
-                                 JsonWriter w(buffer);
-                                 item.Accept(w);
+                                 JsonWriter writer(buffer);
+                                 item.Accept(writer);
                                  Record row;
                                  row.text.assign(buffer.GetString(), buffer.GetSize());
                                  row.reserve = row.text.size() + 1;
@@ -79,14 +79,14 @@
                                  records_.push_back(std::move(row));
                                }
                              } else {
-                               spdlog::error("page {} is unreadable and left alone", kv.key);
+                               spdlog::error("page {} is unreadable and left alone", entry.key);
                                page.reserved = limits_.fill_bytes;
                                ++unreadable_pages_;
                              }
                              pages_.push_back(std::move(page));
                            }
-                           if (answer.truncated && !answer.entries.empty()) {
-                             LoadPagesAfter(answer.entries.back().key, done);
+                           if (response.truncated && !response.entries.empty()) {
+                             LoadPagesAfter(response.entries.back().key, done);
                              return;
                            }
                            std::vector<std::pair<RecordId, std::string>> out;
@@ -100,12 +100,12 @@
   // The fullest page with room, so that few pages are dirty at a time.
   uint32_t best = UINT32_MAX;
   for (uint32_t i = 0; i < pages_.size(); ++i) {
-    const Page& p = pages_[i];
+    const Page& page = pages_[i];
     // A page on its way takes no new row: that would have to wait for its answer.
     // Nor does one whose split is not confirmed: the row would wait for all of it.
-    if (p.in_flight || p.split_origin != kNoPage) continue;
-    if (p.reserved + bytes > limits_.fill_bytes) continue;
-    if (best == UINT32_MAX || p.reserved > pages_[best].reserved) best = i;
+    if (page.in_flight || page.split_origin != kNoPage) continue;
+    if (page.reserved + bytes > limits_.fill_bytes) continue;
+    if (best == UINT32_MAX || page.reserved > pages_[best].reserved) best = i;
   }
   if (best != UINT32_MAX) return best;
   NewPage();
@@ -121,42 +121,43 @@
   return pages_.back();
 }
 
-void RecordStore::MarkDirty(uint32_t index, WritePriority urgency) {
+void RecordStore::MarkDirty(uint32_t index, WritePriority priority) {
   const uint32_t origin = pages_[index].split_origin;
-  Page& p = pages_[origin == kNoPage ? index : origin];
+  Page& page = pages_[origin == kNoPage ? index : origin];
   const double now = clock_->Now();
-  if (!p.dirty) p.dirty_since = now;
-  if (urgency == WritePriority::kDeferred && p.priority == WritePriority::kBackground)
-    p.deferred_since = now;
-  p.dirty = true;
-  p.priority = std::max(p.priority, urgency);
+  if (!page.dirty) page.dirty_since = now;
+  if (priority == WritePriority::kDeferred && page.priority == WritePriority::kBackground)
+    page.deferred_since = now;
+  page.dirty = true;
+  page.priority = std::max(page.priority, priority);
 }
 
-RecordId RecordStore::Add(std::string text, size_t reserve, WritePriority urgency) {
-  RecordId id;
+RecordId RecordStore::Add(std::string text, size_t reserve, WritePriority priority) {
+  RecordId record_id;
   if (free_records_.empty()) {
-    id = static_cast<RecordId>(records_.size());
+    record_id = static_cast<RecordId>(records_.size());
     records_.emplace_back();
   } else {
-    id = free_records_.back();
+    record_id = free_records_.back();
     free_records_.pop_back();
   }
-  Record& row = records_[id];
+  Record& row = records_[record_id];
   row = Record();
   row.reserve = std::max(reserve, text.size()) + 1;
   row.text = std::move(text);
   row.page = ChoosePage(row.reserve);
   row.in_use = row.dirty = true;
   pages_[row.page].reserved += row.reserve;
-  pages_[row.page].records.push_back(id);
-  MarkDirty(row.page, urgency);
-  return id;
+  pages_[row.page].records.push_back(record_id);
+  MarkDirty(row.page, priority);
+  return record_id;
 }
 
-void RecordStore::Update(RecordId id, std::string text, size_t reserve, WritePriority urgency) {
-  Record& row = records_[id];
+void RecordStore::Update(RecordId record_id, std::string text, size_t reserve,
+                         WritePriority priority) {
+  Record& row = records_[record_id];
   if (row.text == text) {
-    if (row.dirty) MarkDirty(row.page, urgency);
+    if (row.dirty) MarkDirty(row.page, priority);
     return;
   }
   Page& page = pages_[row.page];
@@ -165,32 +166,32 @@
   row.reserve = want;
   row.text = std::move(text);
   row.dirty = true;
-  MarkDirty(row.page, urgency);
+  MarkDirty(row.page, priority);
 }
 
-void RecordStore::Reserve(RecordId id, size_t reserve) {
-  Record& row = records_[id];
+void RecordStore::Reserve(RecordId record_id, size_t reserve) {
+  Record& row = records_[record_id];
   const size_t want = std::max(reserve, row.text.size()) + 1;
   pages_[row.page].reserved += want - row.reserve;
   row.reserve = want;
 }
 
-void RecordStore::Remove(RecordId id) {
-  Record& row = records_[id];
+void RecordStore::Remove(RecordId record_id) {
+  Record& row = records_[record_id];
   if (!row.in_use) return;
   Page& page = pages_[row.page];
   page.reserved -= row.reserve;
-  page.records.erase(std::find(page.records.begin(), page.records.end(), id));
+  page.records.erase(std::find(page.records.begin(), page.records.end(), record_id));
   MarkDirty(row.page, WritePriority::kBackground);
   row = Record();
-  free_records_.push_back(id);
+  free_records_.push_back(record_id);
 }
 
 std::string RecordStore::EncodePage(const Page& page) const {
   std::string out = "[";
-  for (RecordId id : page.records) {
+  for (RecordId record_id : page.records) {
     if (out.size() > 1) out += ',';
-    out += records_[id].text;
+    out += records_[record_id].text;
   }
   out += ']';
   return out;
@@ -226,12 +227,12 @@
     if (!page.dirty || page.in_flight || now < page.backoff_until) continue;
     // The parts of a split go out with their origin.
     if (page.split_origin != kNoPage && page.split_origin != i) continue;
-    const WritePriority urgency = EffectivePriority(page, now);
+    const WritePriority priority = EffectivePriority(page, now);
     // Only what is urgent overtakes: the more goes together, the fewer puts.
     const bool waits =
         now - page.dirty_since < limits_.background_delay_s || transactions_in_flight_ > 0;
-    if (urgency == WritePriority::kBackground && waits) continue;
-    due.push_back({i, urgency, page.dirty_since});
+    if (priority == WritePriority::kBackground && waits) continue;
+    due.push_back({i, priority, page.dirty_since});
   }
   std::stable_sort(due.begin(), due.end(), [](const DuePage& a, const DuePage& b) {
     return a.priority != b.priority ? a.priority > b.priority : a.dirty_since < b.dirty_since;
@@ -239,9 +240,9 @@
   return due;
 }
 
-bool RecordStore::HasWriteBudget(double room, WritePriority urgency) const {
+bool RecordStore::HasWriteBudget(double room, WritePriority priority) const {
   // What can wait leaves budget for what can't.
-  switch (urgency) {
+  switch (priority) {
     case WritePriority::kImmediate:
       return room >= 1;
     case WritePriority::kDeferred:
@@ -254,8 +255,8 @@
   return room >= std::min(kept, limits_.write_burst * kUsableBurstShare);
 }
 
-bool RecordStore::HasWriteBudgetFor(size_t puts, double room, WritePriority urgency) const {
-  if (puts <= 1) return HasWriteBudget(room, urgency);
+bool RecordStore::HasWriteBudgetFor(size_t puts, double room, WritePriority priority) const {
+  if (puts <= 1) return HasWriteBudget(room, priority);
   // The pages of a split go out together, as far as the burst allows.
   const double wanted = static_cast<double>(puts) + kWriteTokensKeptForImmediate;
   return room >= std::min(wanted, limits_.write_burst * kUsableBurstShare);
@@ -291,9 +292,8 @@
   ++transactions_in_flight_;
   key_value_store_->Commit(
       out.transaction,
-      [this, sent = out.pages, largest = out.largest_value_bytes](const KeyValueResponse& answer) {
-        HandleCommitResponse(sent, largest, answer);
-      });
+      [this, sent = out.pages, largest = out.largest_value_bytes](
+          const KeyValueResponse& response) { HandleCommitResponse(sent, largest, response); });
   return true;
 }
 
@@ -324,39 +324,39 @@
   out->bytes = total;
   out->largest_value_bytes = largest;
   for (size_t k = 0; k < unit.size(); ++k) {
-    Page& p = pages_[unit[k]];
-    out->transaction.preconditions.push_back({p.key, p.version});
-    out->transaction.mutations.push_back({p.key, std::move(values[k]), 0});
+    Page& page = pages_[unit[k]];
+    out->transaction.preconditions.push_back({page.key, page.version});
+    out->transaction.mutations.push_back({page.key, std::move(values[k]), 0});
     out->pages.push_back(unit[k]);
-    p.dirty = false;
-    p.priority = WritePriority::kBackground;
-    p.in_flight = true;
-    for (RecordId id : p.records) {
-      records_[id].in_flight = records_[id].dirty;
-      records_[id].dirty = false;
+    page.dirty = false;
+    page.priority = WritePriority::kBackground;
+    page.in_flight = true;
+    for (RecordId record_id : page.records) {
+      records_[record_id].in_flight = records_[record_id].dirty;
+      records_[record_id].dirty = false;
     }
   }
   return true;
 }
 
 void RecordStore::HandleCommitResponse(const std::vector<uint32_t>& sent, size_t largest,
-                                       const KeyValueResponse& answer) {
+                                       const KeyValueResponse& response) {
   if (stopped_) return;
   const double now = clock_->Now();
-  const bool ok = answer.status == KeyValueStatus::kOk;
+  const bool ok = response.status == KeyValueStatus::kOk;
   --transactions_in_flight_;
   for (uint32_t i : sent) {
-    Page& p = pages_[i];
-    p.in_flight = false;
-    if (ok) p.version = answer.number;
-    for (RecordId id : p.records) {
-      if (!ok && records_[id].in_flight) records_[id].dirty = true;
-      records_[id].in_flight = false;
+    Page& page = pages_[i];
+    page.in_flight = false;
+    if (ok) page.version = response.number;
+    for (RecordId record_id : page.records) {
+      if (!ok && records_[record_id].in_flight) records_[record_id].dirty = true;
+      records_[record_id].in_flight = false;
     }
     if (!ok) {
-      if (!p.dirty) p.dirty_since = now - limits_.background_delay_s;
-      p.dirty = true;
-      p.priority = WritePriority::kImmediate;
+      if (!page.dirty) page.dirty_since = now - limits_.background_delay_s;
+      page.dirty = true;
+      page.priority = WritePriority::kImmediate;
     }
   }
   if (ok) {
@@ -367,13 +367,13 @@
     }
   }
   for (uint32_t i : sent) {
-    if (answer.status == KeyValueStatus::kIndeterminate) pages_[i].split_indeterminate = true;
+    if (response.status == KeyValueStatus::kIndeterminate) pages_[i].split_indeterminate = true;
   }
-  if (answer.status == KeyValueStatus::kInvalid) HandleRejection(sent, largest);
+  if (response.status == KeyValueStatus::kInvalid) HandleRejection(sent, largest);
   // No answer: the same pages are written again under the same versions. Should
   // the first try be applied late, the second meets a conflict, never both.
-  if (answer.status == KeyValueStatus::kConflict) conflict_pending_ = true;
-  if (answer.status == KeyValueStatus::kUnavailable) retry_after_ = now + 0.1;
+  if (response.status == KeyValueStatus::kConflict) conflict_pending_ = true;
+  if (response.status == KeyValueStatus::kUnavailable) retry_after_ = now + 0.1;
   // Versions read while something is in flight could be older than its answer.
   if (conflict_pending_ && transactions_in_flight_ == 0) {
     conflict_pending_ = false;
@@ -404,15 +404,15 @@
 }
 
 void RecordStore::RereadPageVersions(const std::string& after) {
-  key_value_store_->List(std::string(kPrefix), after, [this](const KeyValueResponse& answer) {
-    if (answer.status == KeyValueStatus::kOk) {
-      for (const KeyValue& kv : answer.entries) {
-        for (Page& p : pages_) {
-          if (p.key == kv.key) p.version = kv.version;
+  key_value_store_->List(std::string(kPrefix), after, [this](const KeyValueResponse& response) {
+    if (response.status == KeyValueStatus::kOk) {
+      for (const KeyValue& entry : response.entries) {
+        for (Page& page : pages_) {
+          if (page.key == entry.key) page.version = entry.version;
         }
       }
-      if (answer.truncated && !answer.entries.empty() && !stopped_) {
-        RereadPageVersions(answer.entries.back().key);
+      if (response.truncated && !response.entries.empty() && !stopped_) {
+        RereadPageVersions(response.entries.back().key);
         return;
       }
     }
--- a/src/state/record_store.h
+++ b/src/state/record_store.h
@@ -55,20 +55,22 @@
   void Load(Loaded done);
 
   // A new row; `reserve` is the size it may grow to.
-  RecordId Add(std::string text, size_t reserve, WritePriority urgency);
-  void Update(RecordId row, std::string text, size_t reserve, WritePriority urgency);
-  void Remove(RecordId row);
+  RecordId Add(std::string text, size_t reserve, WritePriority priority);
+  void Update(RecordId record_id, std::string text, size_t reserve, WritePriority priority);
+  void Remove(RecordId record_id);
   // A row that was loaded may grow to this size: its page takes no more than leaves room
   // for that. A page over the state service's limit could never be written again.
-  void Reserve(RecordId row, size_t reserve);
+  void Reserve(RecordId record_id, size_t reserve);
   // Pages that are larger than the limits allow are split, a few rows' moves at a time:
   // old pages may have been filled under larger limits. Called when all rows are known.
   void SplitLargePages();
   // The largest text that a row may have.
   size_t max_record_bytes() const { return limits_.fill_bytes - kPageOverheadBytes; }
-  size_t RecordBytes(RecordId row) const { return records_[row].text.size(); }
+  size_t RecordBytes(RecordId record_id) const { return records_[record_id].text.size(); }
   // True when the text last set is in the state service.
-  bool IsDurable(RecordId row) const { return !records_[row].dirty && !records_[row].in_flight; }
+  bool IsDurable(RecordId record_id) const {
+    return !records_[record_id].dirty && !records_[record_id].in_flight;
+  }
   // Pages whose rows are not known: what they held can't be denied.
   int unreadable_pages() const { return unreadable_pages_; }
 
@@ -113,7 +115,7 @@
 
   uint32_t ChoosePage(size_t bytes);
   Page& NewPage();
-  void MarkDirty(uint32_t page, WritePriority urgency);
+  void MarkDirty(uint32_t page, WritePriority priority);
   bool IsOversized(const Page& page) const;
   // Moves rows of a page that is too large to new pages, in memory; the transaction
   // that writes all of them is still to be sent.
@@ -143,16 +145,16 @@
   // The pages to send, the most urgent ones first.
   std::vector<DuePage> DuePages(double now) const;
   // Whether the budget for writes allows one more page of that urgency.
-  bool HasWriteBudget(double room, WritePriority urgency) const;
+  bool HasWriteBudget(double room, WritePriority priority) const;
   // The same for so many puts that go out together.
-  bool HasWriteBudgetFor(size_t puts, double room, WritePriority urgency) const;
+  bool HasWriteBudgetFor(size_t puts, double room, WritePriority priority) const;
   // Adds the page, with all that must go along, to the transaction. False: it can't.
   bool AddToTransaction(const DuePage& due, OutgoingTransaction* out);
   std::string EncodePage(const Page& page) const;
   // Sends one transaction, if something is due and may go.
   bool SendTransaction();
   void HandleCommitResponse(const std::vector<uint32_t>& sent, size_t largest,
-                            const KeyValueResponse& answer);
+                            const KeyValueResponse& response);
   void ResolveConflict();
   void RereadPageVersions(const std::string& after);
   void LoadPagesAfter(const std::string& after, Loaded done);
--- a/src/state/record_store_split.cc
+++ b/src/state/record_store_split.cc
@@ -45,7 +45,8 @@
   const std::vector<RecordId> rows = pages_[origin].records;
   std::vector<RecordSize> sizes;
   sizes.reserve(rows.size());
-  for (RecordId id : rows) sizes.push_back({records_[id].reserve, records_[id].text.size() + 1});
+  for (RecordId record_id : rows)
+    sizes.push_back({records_[record_id].reserve, records_[record_id].text.size() + 1});
   const SplitLimits limits{limits_.fill_bytes, limits_.max_value_bytes,
                            limits_.max_transaction_ops};
   const RecordGroups groups = PlanPageSplit(sizes, limits);
@@ -77,10 +78,10 @@
     if (part == origin) continue;
     Page& page = pages_[part];
     Page& whole = pages_[origin];
-    for (RecordId id : page.records) {
-      records_[id].page = origin;
-      whole.records.push_back(id);
-      whole.reserved += records_[id].reserve;
+    for (RecordId record_id : page.records) {
+      records_[record_id].page = origin;
+      whole.records.push_back(record_id);
+      whole.reserved += records_[record_id].reserve;
     }
     page.records.clear();
     page.reserved = kEmptyPageBytes;
--- a/src/wire/cloud_codec.cc
+++ b/src/wire/cloud_codec.cc
@@ -10,23 +10,23 @@
   const JsonValue* rows = JsonMember(doc, "cascos");
   if (rows == nullptr || !rows->IsArray()) return false;
   for (const auto& row : rows->GetArray()) {
-    MachineType t;
-    if (!JsonString(row, "name", &t.name) || t.name.empty()) return false;
-    if (!JsonNumber(row, "cores", &t.cores) || !JsonNumber(row, "memory_gb", &t.memory_gb)) {
+    MachineType type;
+    if (!JsonString(row, "name", &type.name) || type.name.empty()) return false;
+    if (!JsonNumber(row, "cores", &type.cores) || !JsonNumber(row, "memory_gb", &type.memory_gb)) {
       return false;
     }
-    JsonNumber(row, "gpus", &t.gpus);
-    JsonNumber(row, "cache_gb", &t.cache_gb);
-    JsonNumber(row, "pull_gb_per_s", &t.fetch_gb_per_s);
-    JsonNumber(row, "hourly", &t.price);
-    if (!JsonNumber(row, "low_price", &t.spot_price)) t.spot_price = t.price;
-    JsonNumber(row, "startup_s", &t.boot_s);
+    JsonNumber(row, "gpus", &type.gpus);
+    JsonNumber(row, "cache_gb", &type.cache_gb);
+    JsonNumber(row, "pull_gb_per_s", &type.fetch_gb_per_s);
+    JsonNumber(row, "hourly", &type.price);
+    if (!JsonNumber(row, "low_price", &type.spot_price)) type.spot_price = type.price;
+    JsonNumber(row, "startup_s", &type.boot_s);
     if (const JsonValue* zones = JsonMember(row, "muelles"); zones != nullptr && zones->IsArray()) {
       for (const auto& z : zones->GetArray()) {
-        if (z.IsString()) t.zones.emplace_back(z.GetString(), z.GetStringLength());
+        if (z.IsString()) type.zones.emplace_back(z.GetString(), z.GetStringLength());
       }
     }
-    out->push_back(std::move(t));
+    out->push_back(std::move(type));
   }
   return !out->empty();
 }
@@ -39,19 +39,19 @@
   *truncated = false;
   JsonBool(doc, "truncated", truncated);
   for (const auto& row : rows->GetArray()) {
-    CloudInstance m;
-    if (!JsonString(row, "name_id", &m.name) || m.name.empty()) return false;
-    JsonString(row, "endpoint", &m.endpoint);
-    JsonString(row, "casco", &m.type);
-    JsonString(row, "muelle", &m.zone);
-    JsonBool(row, "prestados", &m.spot);
+    CloudInstance instance;
+    if (!JsonString(row, "name_id", &instance.name) || instance.name.empty()) return false;
+    JsonString(row, "endpoint", &instance.endpoint);
+    JsonString(row, "casco", &instance.type);
+    JsonString(row, "muelle", &instance.zone);
+    JsonBool(row, "prestados", &instance.spot);
     std::string state;
     JsonString(row, "estado", &state);
-    m.state = state == "running"  ? InstanceState::kRunning
-              : state == "failed" ? InstanceState::kFailed
-                                  : InstanceState::kStarting;
-    JsonNumber(row, "age_s", &m.age_s);
-    out->push_back(std::move(m));
+    instance.state = state == "running"  ? InstanceState::kRunning
+                     : state == "failed" ? InstanceState::kFailed
+                                         : InstanceState::kStarting;
+    JsonNumber(row, "age_s", &instance.age_s);
+    out->push_back(std::move(instance));
   }
   return true;
 }
@@ -71,28 +71,28 @@
 std::string EncodeScaleOut(const std::string& request, const std::string& type,
                            const std::string& zone, bool spot, int count) {
   rapidjson::StringBuffer buffer;
-  JsonWriter w(buffer);
-  w.StartObject();
-  PutString(w, "flete", request);
-  PutString(w, "casco", type);
-  PutString(w, "muelle", zone);
-  w.Key("prestados");
-  w.Bool(spot);
-  w.Key("how_many");
-  w.Int(count);
-  w.EndObject();
+  JsonWriter writer(buffer);
+  writer.StartObject();
+  PutString(writer, "flete", request);
+  PutString(writer, "casco", type);
+  PutString(writer, "muelle", zone);
+  writer.Key("prestados");
+  writer.Bool(spot);
+  writer.Key("how_many");
+  writer.Int(count);
+  writer.EndObject();
   return buffer.GetString();
 }
 
 std::string EncodeScaleIn(const std::vector<std::string>& machines) {
   rapidjson::StringBuffer buffer;
-  JsonWriter w(buffer);
-  w.StartObject();
-  w.Key("cubiertas");
-  w.StartArray();
-  for (const auto& m : machines) w.String(m);
-  w.EndArray();
-  w.EndObject();
+  JsonWriter writer(buffer);
+  writer.StartObject();
+  writer.Key("cubiertas");
+  writer.StartArray();
+  for (const auto& m : machines) writer.String(m);
+  writer.EndArray();
+  writer.EndObject();
   return buffer.GetString();
 }
 
--- a/src/wire/job_codec.h
+++ b/src/wire/job_codec.h
@@ -18,10 +18,10 @@
 std::string ParseJob(std::string_view body, std::string* id, JobSpec* job);
 // The same from a parsed object.
 std::string ReadJob(const JsonValue& object, JobSpec* job);
-void WriteJob(JsonWriter& w, const JobSpec& job);
+void WriteJob(JsonWriter& writer, const JobSpec& job);
 
 const char* JobStateWord(JobState state);
-std::string EncodeJobResponse(const JobRequest& ask, const JobResponse& reply);
+std::string EncodeJobResponse(const JobRequest& request, const JobResponse& response);
 std::string EncodeError(std::string_view error);
 
 }  // namespace deckhall
--- a/src/wire/json.cc
+++ b/src/wire/json.cc
@@ -45,9 +45,9 @@
   return true;
 }
 
-void PutString(JsonWriter& w, const char* name, std::string_view value) {
-  w.Key(name);
-  w.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
+void PutString(JsonWriter& writer, const char* name, std::string_view value) {
+  writer.Key(name);
+  writer.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
 }
 
 }  // namespace deckhall
--- a/src/wire/json.h
+++ b/src/wire/json.h
@@ -25,6 +25,6 @@
 bool JsonU64(const JsonValue& object, const char* name, uint64_t* out);
 bool JsonBool(const JsonValue& object, const char* name, bool* out);
 
-void PutString(JsonWriter& w, const char* name, std::string_view value);
+void PutString(JsonWriter& writer, const char* name, std::string_view value);
 
 }  // namespace deckhall
--- a/src/wire/key_value_codec.cc
+++ b/src/wire/key_value_codec.cc
@@ -5,8 +5,8 @@
 
 std::string Render(const JsonValue& v) {
   rapidjson::StringBuffer buffer;
-  JsonWriter w(buffer);
-  v.Accept(w);
+  JsonWriter writer(buffer);
+  v.Accept(writer);
   return {buffer.GetString(), buffer.GetSize()};
 }
 
@@ -20,41 +20,41 @@
 
 }  // namespace
 
-std::string EncodeTransaction(const Transaction& txn) {
+std::string EncodeTransaction(const Transaction& transaction) {
   rapidjson::StringBuffer buffer;
-  JsonWriter w(buffer);
-  w.StartObject();
-  w.Key("if");
-  w.StartArray();
-  for (const auto& c : txn.preconditions) {
-    w.StartObject();
-    PutString(w, "key", c.key);
-    w.Key("huella");
-    w.Uint64(c.version);
-    w.EndObject();
+  JsonWriter writer(buffer);
+  writer.StartObject();
+  writer.Key("if");
+  writer.StartArray();
+  for (const auto& c : transaction.preconditions) {
+    writer.StartObject();
+    PutString(writer, "key", c.key);
+    writer.Key("huella");
+    writer.Uint64(c.version);
+    writer.EndObject();
   }
-  w.EndArray();
-  if (!txn.mutations.empty()) {
-    w.Key("writes");
-    w.StartArray();
-    for (const auto& op : txn.mutations) {
-      w.StartObject();
+  writer.EndArray();
+  if (!transaction.mutations.empty()) {
+    writer.Key("writes");
+    writer.StartArray();
+    for (const auto& op : transaction.mutations) {
+      writer.StartObject();
       if (op.value.empty()) {
-        PutString(w, "remove", op.key);
+        PutString(writer, "remove", op.key);
       } else {
-        PutString(w, "put", op.key);
-        w.Key("data");
-        w.RawValue(op.value.data(), op.value.size(), rapidjson::kObjectType);
+        PutString(writer, "put", op.key);
+        writer.Key("data");
+        writer.RawValue(op.value.data(), op.value.size(), rapidjson::kObjectType);
         if (op.lease != 0) {
-          w.Key("amarre");
-          w.Uint64(op.lease);
+          writer.Key("amarre");
+          writer.Uint64(op.lease);
         }
       }
-      w.EndObject();
+      writer.EndObject();
     }
-    w.EndArray();
+    writer.EndArray();
   }
-  w.EndObject();
+  writer.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
 }
 
--- a/src/wire/key_value_codec.h
+++ b/src/wire/key_value_codec.h
@@ -32,7 +32,7 @@
   std::vector<Mutation> mutations;
 };
 
-std::string EncodeTransaction(const Transaction& txn);
+std::string EncodeTransaction(const Transaction& transaction);
 std::string EncodeLeaseGrant(int ttl_ms);
 bool DecodeKeyValue(std::string_view body, KeyValue* out);
 bool DecodeKeyValues(std::string_view body, std::vector<KeyValue>* rows, bool* truncated,
--- a/src/wire/peer_codec.cc
+++ b/src/wire/peer_codec.cc
@@ -73,17 +73,17 @@
   mesh::Frame::Builder f;
 
   void operator()(std::monostate) { f.setNone(); }
-  void operator()(const PeerPing& p) {
+  void operator()(const PeerPing& ping) {
     auto b = f.initPing();
-    b.setLabel(Txt(p.label));
-    b.setInstance(p.instance);
-    b.setLeading(p.lease_valid);
-    b.setHolding(p.holds_leader_key);
-    b.setInformed(p.term_confirmed);
-    b.setTerm(p.term);
-    b.setLeader(Txt(p.leader));
-    auto list = b.initReaches(static_cast<unsigned>(p.reachable_peers.size()));
-    for (unsigned i = 0; i < list.size(); ++i) list.set(i, Txt(p.reachable_peers[i]));
+    b.setLabel(Txt(ping.label));
+    b.setInstance(ping.instance);
+    b.setLeading(ping.lease_valid);
+    b.setHolding(ping.holds_leader_key);
+    b.setInformed(ping.term_confirmed);
+    b.setTerm(ping.term);
+    b.setLeader(Txt(ping.leader));
+    auto list = b.initReaches(static_cast<unsigned>(ping.reachable_peers.size()));
+    for (unsigned i = 0; i < list.size(); ++i) list.set(i, Txt(ping.reachable_peers[i]));
   }
   void operator()(const JobRequest& a) {
     auto b = f.initUserRequest();
@@ -92,48 +92,48 @@
     b.setInvalid(Txt(a.validation_error));
     if (a.operation == JobOperation::kSubmit && a.validation_error.empty()) Put(a.job, b.initJob());
   }
-  void operator()(const JobResponse& r) {
+  void operator()(const JobResponse& response) {
     auto b = f.initUserResponse();
-    b.setStatus(static_cast<uint16_t>(r.status));
-    b.setState(static_cast<uint8_t>(r.state));
-    b.setDone(r.tasks_done);
-    b.setRunning(r.tasks_running);
-    b.setError(Txt(r.error));
-    b.setRetryAfterS(static_cast<uint16_t>(r.retry_after_s));
+    b.setStatus(static_cast<uint16_t>(response.status));
+    b.setState(static_cast<uint8_t>(response.state));
+    b.setDone(response.tasks_done);
+    b.setRunning(response.tasks_running);
+    b.setError(Txt(response.error));
+    b.setRetryAfterS(static_cast<uint16_t>(response.retry_after_s));
   }
-  void operator()(const Heartbeat& r) {
+  void operator()(const Heartbeat& heartbeat) {
     auto b = f.initReport();
-    b.setMachine(Txt(r.machine));
-    b.setEndpoint(Txt(r.endpoint));
-    b.setType(Txt(r.type));
-    b.setZone(Txt(r.zone));
-    b.setSpot(r.spot);
-    b.setSession(r.agent_epoch);
-    b.setSeq(r.sequence);
-    b.setToken(r.fencing_token);
-    b.setNoticeS(r.preemption_notice_s.value_or(-1));
-    auto list = b.initTasks(static_cast<unsigned>(r.tasks.size()));
+    b.setMachine(Txt(heartbeat.machine));
+    b.setEndpoint(Txt(heartbeat.endpoint));
+    b.setType(Txt(heartbeat.type));
+    b.setZone(Txt(heartbeat.zone));
+    b.setSpot(heartbeat.spot);
+    b.setSession(heartbeat.agent_epoch);
+    b.setSeq(heartbeat.sequence);
+    b.setToken(heartbeat.fencing_token);
+    b.setNoticeS(heartbeat.preemption_notice_s.value_or(-1));
+    auto list = b.initTasks(static_cast<unsigned>(heartbeat.tasks.size()));
     for (unsigned i = 0; i < list.size(); ++i) {
-      const TaskStatus& t = r.tasks[i];
-      list[i].setTask(Txt(t.task_name));
-      list[i].setAttempt(t.attempt);
-      list[i].setState(static_cast<uint8_t>(t.state));
-      list[i].setWhy(static_cast<uint8_t>(t.exit_reason));
-      list[i].setSaved(t.checkpointed);
+      const TaskStatus& status = heartbeat.tasks[i];
+      list[i].setTask(Txt(status.task_name));
+      list[i].setAttempt(status.attempt);
+      list[i].setState(static_cast<uint8_t>(status.state));
+      list[i].setWhy(static_cast<uint8_t>(status.exit_reason));
+      list[i].setSaved(status.checkpointed);
     }
   }
-  void operator()(const HeartbeatResponse& r) {
+  void operator()(const HeartbeatResponse& response) {
     auto b = f.initReportResponse();
-    b.setStatus(static_cast<uint16_t>(r.status));
-    b.setToken(r.fencing_token);
-    b.setReportTo(Txt(r.redirect_to));
-    auto list = b.initCommands(static_cast<unsigned>(r.commands.size()));
+    b.setStatus(static_cast<uint16_t>(response.status));
+    b.setToken(response.fencing_token);
+    b.setReportTo(Txt(response.redirect_to));
+    auto list = b.initCommands(static_cast<unsigned>(response.commands.size()));
     for (unsigned i = 0; i < list.size(); ++i) {
-      const Command& c = r.commands[i];
-      list[i].setOp(static_cast<uint8_t>(c.operation));
-      list[i].setTask(Txt(c.task_name));
-      list[i].setAttempt(c.attempt);
-      list[i].setGraceS(c.grace_period_s);
+      const Command& command = response.commands[i];
+      list[i].setOp(static_cast<uint8_t>(command.operation));
+      list[i].setTask(Txt(command.task_name));
+      list[i].setAttempt(command.attempt);
+      list[i].setGraceS(command.grace_period_s);
     }
   }
 };
@@ -147,16 +147,16 @@
       break;
     case mesh::Frame::PING: {
       auto r = f.getPing();
-      PeerPing p;
-      p.label = Str(r.getLabel());
-      p.instance = r.getInstance();
-      p.lease_valid = r.getLeading();
-      p.holds_leader_key = r.getHolding();
-      p.term_confirmed = r.getInformed();
-      p.term = r.getTerm();
-      p.leader = Str(r.getLeader());
-      for (auto t : r.getReaches()) p.reachable_peers.push_back(Str(t));
-      out->body = std::move(p);
+      PeerPing ping;
+      ping.label = Str(r.getLabel());
+      ping.instance = r.getInstance();
+      ping.lease_valid = r.getLeading();
+      ping.holds_leader_key = r.getHolding();
+      ping.term_confirmed = r.getInformed();
+      ping.term = r.getTerm();
+      ping.leader = Str(r.getLeader());
+      for (auto t : r.getReaches()) ping.reachable_peers.push_back(Str(t));
+      out->body = std::move(ping);
       break;
     }
     case mesh::Frame::USER_REQUEST: {
@@ -194,13 +194,13 @@
       p.fencing_token = r.getToken();
       if (r.getNoticeS() >= 0) p.preemption_notice_s = r.getNoticeS();
       for (auto t : r.getTasks()) {
-        TaskStatus row;
-        row.task_name = Str(t.getTask());
-        row.attempt = t.getAttempt();
-        row.state = static_cast<TaskState>(t.getState() > 4 ? 3 : t.getState());
-        row.exit_reason = static_cast<ExitReason>(t.getWhy() > 8 ? 3 : t.getWhy());
-        row.checkpointed = t.getSaved();
-        p.tasks.push_back(std::move(row));
+        TaskStatus status;
+        status.task_name = Str(t.getTask());
+        status.attempt = t.getAttempt();
+        status.state = static_cast<TaskState>(t.getState() > 4 ? 3 : t.getState());
+        status.exit_reason = static_cast<ExitReason>(t.getWhy() > 8 ? 3 : t.getWhy());
+        status.checkpointed = t.getSaved();
+        p.tasks.push_back(std::move(status));
       }
       out->body = std::move(p);
       break;
--- a/src/wire/worker_codec.cc
+++ b/src/wire/worker_codec.cc
@@ -73,100 +73,102 @@
   return "";
 }
 
-void WriteCommands(JsonWriter& w, const std::vector<Command>& commands) {
-  w.Key("ordenes");
-  w.StartArray();
-  for (const Command& c : commands) {
-    w.StartObject();
-    PutString(w, "maniobra", WordOf(c.operation));
-    PutString(w, "faena", c.task_name);
-    w.Key("intento");
-    w.Uint64(c.attempt);
-    if (c.operation == CommandOp::kStop) {
-      w.Key("tregua_s");
-      w.Double(c.grace_period_s);
+void WriteCommands(JsonWriter& writer, const std::vector<Command>& commands) {
+  writer.Key("ordenes");
+  writer.StartArray();
+  for (const Command& command : commands) {
+    writer.StartObject();
+    PutString(writer, "maniobra", WordOf(command.operation));
+    PutString(writer, "faena", command.task_name);
+    writer.Key("intento");
+    writer.Uint64(command.attempt);
+    if (command.operation == CommandOp::kStop) {
+      writer.Key("tregua_s");
+      writer.Double(command.grace_period_s);
     }
-    w.EndObject();
+    writer.EndObject();
   }
-  w.EndArray();
+  writer.EndArray();
 }
 
 }  // namespace
 
-bool DecodeHeartbeat(std::string_view body, Heartbeat* r) {
+bool DecodeHeartbeat(std::string_view body, Heartbeat* heartbeat) {
   rapidjson::Document doc;
   if (!ParseJson(body, &doc) || !doc.IsObject()) return false;
-  if (!JsonString(doc, "cubierta", &r->machine) || r->machine.empty() || r->machine.size() > 100) {
+  if (!JsonString(doc, "cubierta", &heartbeat->machine) || heartbeat->machine.empty() ||
+      heartbeat->machine.size() > 100) {
     return false;
   }
-  if (!JsonString(doc, "endpoint", &r->endpoint) || !JsonString(doc, "casco", &r->type) ||
-      !JsonString(doc, "muelle", &r->zone)) {
+  if (!JsonString(doc, "endpoint", &heartbeat->endpoint) ||
+      !JsonString(doc, "casco", &heartbeat->type) || !JsonString(doc, "muelle", &heartbeat->zone)) {
     return false;
   }
-  JsonBool(doc, "prestados", &r->spot);
-  if (!JsonU64(doc, "guardia", &r->agent_epoch) || !JsonU64(doc, "correlativo", &r->sequence))
+  JsonBool(doc, "prestados", &heartbeat->spot);
+  if (!JsonU64(doc, "guardia", &heartbeat->agent_epoch) ||
+      !JsonU64(doc, "correlativo", &heartbeat->sequence))
     return false;
-  JsonU64(doc, "mando", &r->fencing_token);
+  JsonU64(doc, "mando", &heartbeat->fencing_token);
   double notice = 0;
-  if (JsonNumber(doc, "aviso_s", &notice)) r->preemption_notice_s = notice;
+  if (JsonNumber(doc, "aviso_s", &notice)) heartbeat->preemption_notice_s = notice;
   const JsonValue* tasks = JsonMember(doc, "faenas");
   if (tasks == nullptr) return true;
   if (!tasks->IsArray()) return false;
   for (const auto& t : tasks->GetArray()) {
-    TaskStatus row;
+    TaskStatus status;
     std::string word;
-    if (!JsonString(t, "faena", &row.task_name) || !JsonU64(t, "intento", &row.attempt) ||
-        !JsonString(t, "estado", &word) || !ReadTaskState(word, &row.state)) {
+    if (!JsonString(t, "faena", &status.task_name) || !JsonU64(t, "intento", &status.attempt) ||
+        !JsonString(t, "estado", &word) || !ReadTaskState(word, &status.state)) {
       return false;
     }
-    if (row.state == TaskState::kExited) {
+    if (status.state == TaskState::kExited) {
       word.clear();
       JsonString(t, "motivo", &word);
-      row.exit_reason = ReadExitReason(word);
-      JsonBool(t, "saved", &row.checkpointed);
+      status.exit_reason = ReadExitReason(word);
+      JsonBool(t, "saved", &status.checkpointed);
     }
-    r->tasks.push_back(std::move(row));
+    heartbeat->tasks.push_back(std::move(status));
   }
   return true;
 }
 
-std::string EncodeHeartbeat(const Heartbeat& r) {
+std::string EncodeHeartbeat(const Heartbeat& heartbeat) {
   rapidjson::StringBuffer buffer;
-  JsonWriter w(buffer);
-  w.StartObject();
-  PutString(w, "cubierta", r.machine);
-  PutString(w, "endpoint", r.endpoint);
-  PutString(w, "casco", r.type);
-  PutString(w, "muelle", r.zone);
-  w.Key("prestados");
-  w.Bool(r.spot);
-  w.Key("guardia");
-  w.Uint64(r.agent_epoch);
-  w.Key("correlativo");
-  w.Uint64(r.sequence);
-  w.Key("mando");
-  w.Uint64(r.fencing_token);
-  if (r.preemption_notice_s) {
-    w.Key("aviso_s");
-    w.Double(*r.preemption_notice_s);
+  JsonWriter writer(buffer);
+  writer.StartObject();
+  PutString(writer, "cubierta", heartbeat.machine);
+  PutString(writer, "endpoint", heartbeat.endpoint);
+  PutString(writer, "casco", heartbeat.type);
+  PutString(writer, "muelle", heartbeat.zone);
+  writer.Key("prestados");
+  writer.Bool(heartbeat.spot);
+  writer.Key("guardia");
+  writer.Uint64(heartbeat.agent_epoch);
+  writer.Key("correlativo");
+  writer.Uint64(heartbeat.sequence);
+  writer.Key("mando");
+  writer.Uint64(heartbeat.fencing_token);
+  if (heartbeat.preemption_notice_s) {
+    writer.Key("aviso_s");
+    writer.Double(*heartbeat.preemption_notice_s);
   }
-  w.Key("faenas");
-  w.StartArray();
-  for (const TaskStatus& t : r.tasks) {
-    w.StartObject();
-    PutString(w, "faena", t.task_name);
-    w.Key("intento");
-    w.Uint64(t.attempt);
-    PutString(w, "estado", WordOf(t.state));
-    if (t.state == TaskState::kExited) {
-      PutString(w, "motivo", WordOf(t.exit_reason));
-      w.Key("saved");
-      w.Bool(t.checkpointed);
+  writer.Key("faenas");
+  writer.StartArray();
+  for (const TaskStatus& status : heartbeat.tasks) {
+    writer.StartObject();
+    PutString(writer, "faena", status.task_name);
+    writer.Key("intento");
+    writer.Uint64(status.attempt);
+    PutString(writer, "estado", WordOf(status.state));
+    if (status.state == TaskState::kExited) {
+      PutString(writer, "motivo", WordOf(status.exit_reason));
+      writer.Key("saved");
+      writer.Bool(status.checkpointed);
     }
-    w.EndObject();
+    writer.EndObject();
   }
-  w.EndArray();
-  w.EndObject();
+  writer.EndArray();
+  writer.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
 }
 
@@ -198,33 +200,33 @@
   return true;
 }
 
-std::string EncodeHeartbeatResponse(const HeartbeatResponse& reply) {
+std::string EncodeHeartbeatResponse(const HeartbeatResponse& response) {
   rapidjson::StringBuffer buffer;
-  JsonWriter w(buffer);
-  w.StartObject();
-  if (reply.status == 200) {
-    w.Key("mando");
-    w.Uint64(reply.fencing_token);
-    WriteCommands(w, reply.commands);
-  } else if (!reply.redirect_to.empty()) {
-    PutString(w, "capitan", reply.redirect_to);
+  JsonWriter writer(buffer);
+  writer.StartObject();
+  if (response.status == 200) {
+    writer.Key("mando");
+    writer.Uint64(response.fencing_token);
+    WriteCommands(writer, response.commands);
+  } else if (!response.redirect_to.empty()) {
+    PutString(writer, "capitan", response.redirect_to);
   } else {
-    PutString(w, "error", "no leader");
+    PutString(writer, "error", "no leader");
   }
-  w.EndObject();
+  writer.EndObject();
   return buffer.GetString();
 }
 
 std::string EncodeCommands(uint64_t token, uint64_t session, const std::vector<Command>& commands) {
   rapidjson::StringBuffer buffer;
-  JsonWriter w(buffer);
-  w.StartObject();
-  w.Key("mando");
-  w.Uint64(token);
-  w.Key("guardia");
-  w.Uint64(session);
-  WriteCommands(w, commands);
-  w.EndObject();
+  JsonWriter writer(buffer);
+  writer.StartObject();
+  writer.Key("mando");
+  writer.Uint64(token);
+  writer.Key("guardia");
+  writer.Uint64(session);
+  WriteCommands(writer, commands);
+  writer.EndObject();
   return buffer.GetString();
 }
 
--- a/src/wire/worker_codec.h
+++ b/src/wire/worker_codec.h
@@ -9,10 +9,10 @@
 
 namespace deckhall {
 
-bool DecodeHeartbeat(std::string_view body, Heartbeat* report);
-std::string EncodeHeartbeatResponse(const HeartbeatResponse& reply);
+bool DecodeHeartbeat(std::string_view body, Heartbeat* heartbeat);
+std::string EncodeHeartbeatResponse(const HeartbeatResponse& response);
 // What a worker sends, and how it reads what it is told. `session` of an answer to a report is 0.
-std::string EncodeHeartbeat(const Heartbeat& report);
+std::string EncodeHeartbeat(const Heartbeat& heartbeat);
 struct WorkerCommands {
   uint64_t fencing_token = 0;
   uint64_t agent_epoch = 0;
