--- a/src/drain/replacement_finder.cc
+++ b/src/drain/replacement_finder.cc
@@ -1,6 +1,7 @@
 #include "drain/replacement_finder.h"
 
 #include <algorithm>
+#include <optional>
 
 namespace deckhall {
 namespace {
@@ -43,10 +44,9 @@
   RefreshCandidates();
   std::vector<uint32_t> on = job.machines;
   if (auto it = std::find(on.begin(), on.end(), from); it != on.end()) on.erase(it);
-  std::vector<char> zones;
-  if (!free_capacity_->AllowedZones(job, on, &zones))
-    return {kNoIndex, false, {BlockedReason::kTakingOver, job.id}};
-  ResourceRequest request = free_capacity_->RequestFor(job, zones, on);
+  const std::optional<ZoneMask> zones = free_capacity_->AllowedZones(job, on);
+  if (!zones) return {kNoIndex, false, {BlockedReason::kTakingOver, job.id}};
+  ResourceRequest request = free_capacity_->RequestFor(job, *zones, on);
   request.overdue = false;
   std::vector<uint32_t> some = NextCandidates();
   // Where it failed before, or did not start, it is not sent on purpose.
@@ -55,23 +55,24 @@
            job.failed_machines.end();
   });
   request.cached_only = true;
-  int at = BestFitQueue(&request, &free_capacity_->capacities(), some).PopBest(true);
-  if (at >= 0) return {static_cast<MachineIndex>(at), true, {}};
+  std::optional<MachineIndex> best =
+      BestFitQueue(&request, &free_capacity_->capacities(), some).PopBest(true);
+  if (best) return {*best, true, {}};
   request.cached_only = false;
-  at = BestFitQueue(&request, &free_capacity_->capacities(), some).PopBest(true);
-  if (at >= 0 && fetch) return {static_cast<MachineIndex>(at), false, {}};
-  if (at >= 0) return {kNoIndex, false, {BlockedReason::kNoImage, job.id}};
+  best = BestFitQueue(&request, &free_capacity_->capacities(), some).PopBest(true);
+  if (best && fetch) return {*best, false, {}};
+  if (best) return {kNoIndex, false, {BlockedReason::kNoImage, job.id}};
   const bool no_zone =
       request.allowed_zones != nullptr &&
-      std::none_of(zones.begin(), zones.end(), [](char open) { return open != 0; });
+      std::none_of(zones->begin(), zones->end(), [](char open) { return open != 0; });
   return {kNoIndex, false, {no_zone ? BlockedReason::kZoneRule : BlockedReason::kNoPlace, job.id}};
 }
 
 bool ReplacementFinder::StillFits(JobIndex job_index, MachineIndex place) {
   const Job& job = (*job_store_)[job_index];
-  std::vector<char> zones;
-  if (!free_capacity_->AllowedZones(job, job.machines, &zones)) return false;
-  const ResourceRequest request = free_capacity_->RequestFor(job, zones, job.machines);
+  const std::optional<ZoneMask> zones = free_capacity_->AllowedZones(job, job.machines);
+  if (!zones) return false;
+  const ResourceRequest request = free_capacity_->RequestFor(job, *zones, job.machines);
   const MachineCapacity& capacity = free_capacity_->Current(place);
   return capacity.usable &&
          SatisfiesConstraints(request, capacity.type, capacity.zone, capacity.spot) &&
--- a/src/leader/gang_supervisor.cc
+++ b/src/leader/gang_supervisor.cc
@@ -7,15 +7,14 @@
 namespace deckhall {
 namespace {
 
-// A lost task of a gathering gang is replaced within this time, or the attempt is given up:
-// it holds places meanwhile.
-constexpr double kReplaceWithin = 5;
-// Of the gathering time, what a replacement needs at least to get there.
-constexpr double kLeastToGather = 5;
-// A notice may be half as long as it says.
-constexpr double kSurePartOfNotice = 0.5;
-// Beyond the time to save, so that the stop has reached every task.
-constexpr double kSaveMargin = 1;
+// A lost task is replaced within this time, or the attempt is stopped: it holds machines meanwhile.
+constexpr double kReplaceWithinSeconds = 5;
+// Of Settings::gang_wait_s, what a replacement needs at least to start.
+constexpr double kMinStartSeconds = 5;
+// Preemption notices may be half as long as announced.
+constexpr double kCertainNoticeShare = 0.5;
+// Beyond the checkpoint grace period, so that the stop has reached every task.
+constexpr double kCheckpointMarginSeconds = 1;
 
 }  // namespace
 
@@ -23,7 +22,7 @@
                                const Clock* clock, const Settings* settings)
     : job_store_(job_store), fleet_(fleet), ranking_(ranking), clock_(clock), settings_(settings) {}
 
-void GangSupervisor::ForEachAttempt(JobIndex job_index, const Visit& visit) {
+void GangSupervisor::ForEachAttempt(JobIndex job_index, const AttemptVisitor& visit) {
   std::vector<uint32_t> machines = (*job_store_)[job_index].machines;
   std::sort(machines.begin(), machines.end());
   machines.erase(std::unique(machines.begin(), machines.end()), machines.end());
@@ -34,8 +33,8 @@
   }
 }
 
-GangSupervisor::Attempt GangSupervisor::ObserveAttempt(JobIndex job_index) {
-  Attempt gang_attempt;
+GangSupervisor::GangAttempt GangSupervisor::ObserveAttempt(JobIndex job_index) {
+  GangAttempt gang_attempt;
   ForEachAttempt(job_index, [&gang_attempt](MachineIndex, TaskAttempt* attempt) {
     if (attempt->wanted) gang_attempt.number = std::max(gang_attempt.number, attempt->number);
   });
@@ -54,7 +53,7 @@
   Job& job = (*job_store_)[attempt.job];
   if (!job.spec.gang || attempt.number != job.gang_attempt) return;
   switch (attempt.exit_reason) {
-    // Refused before it was there: another machine may take it.
+    // Refused before it started: another machine may take it.
     case ExitReason::kNoRoom:
     case ExitReason::kInUse:
     case ExitReason::kUnknown:
@@ -65,51 +64,53 @@
   }
 }
 
-void GangSupervisor::StopAttempts(JobIndex job_index, double grace_s, const char* why) {
+void GangSupervisor::StopAttempts(JobIndex job_index, double grace_period_s, const char* reason) {
   size_t stopped = 0;
-  ForEachAttempt(job_index,
-                 [this, grace_s, &stopped](MachineIndex machine_index, TaskAttempt* attempt) {
-                   if (!attempt->wanted) return;
-                   fleet_->RequestStop(machine_index, attempt, grace_s);
-                   ++stopped;
-                 });
+  ForEachAttempt(job_index, [this, grace_period_s, &stopped](MachineIndex machine_index,
+                                                             TaskAttempt* attempt) {
+    if (!attempt->wanted) return;
+    fleet_->RequestStop(machine_index, attempt, grace_period_s);
+    ++stopped;
+  });
   if (stopped == 0) return;
   fleet_->placement_needed = true;
-  spdlog::info("stopping {} tasks of gang {}: {}", stopped, (*job_store_)[job_index].id, why);
+  spdlog::info("job={} tasks={}: gang stopped: {}", (*job_store_)[job_index].id, stopped, reason);
+}
+
+void GangSupervisor::StopEarlierAttempts(JobIndex job_index, uint64_t present_attempt) {
+  ForEachAttempt(job_index,
+                 [this, present_attempt](MachineIndex machine_index, TaskAttempt* attempt) {
+                   if (!attempt->wanted || attempt->number == present_attempt) return;
+                   fleet_->RequestStop(machine_index, attempt, 0);
+                 });
 }
 
 bool GangSupervisor::IsTooLateToComplete(const Job& job) const {
   const double now = clock_->Now();
-  return now - job.waiting_since > kReplaceWithin ||
-         now - job.gang_waiting_since > settings_->gang_wait_s - kLeastToGather;
+  return now - job.waiting_since > kReplaceWithinSeconds ||
+         now - job.gang_waiting_since > settings_->gang_wait_s - kMinStartSeconds;
 }
 
 void GangSupervisor::CheckGang(JobIndex job_index) {
   Job& job = (*job_store_)[job_index];
-  const Attempt gang_attempt = ObserveAttempt(job_index);
+  const GangAttempt gang_attempt = ObserveAttempt(job_index);
   if (gang_attempt.number == 0) return;
   if (gang_attempt.number != job.gang_attempt) {
-    // Started by an earlier leader.
+    // Started under an earlier leader.
     job.gang_attempt = gang_attempt.number;
     job.gang_waiting_since = clock_->Now();
     job.gang_started = job.gang_broken = false;
   }
   job.gang_started = job.gang_started || gang_attempt.started;
-  ForEachAttempt(job_index,
-                 [this, &gang_attempt](MachineIndex machine_index, TaskAttempt* attempt) {
-                   // What is left of an attempt before never comes together again.
-                   if (attempt->wanted && attempt->number != gang_attempt.number)
-                     fleet_->RequestStop(machine_index, attempt, 0);
-                 });
+  StopEarlierAttempts(job_index, gang_attempt.number);
   if (gang_attempt.checkpointing) {
-    // A stop that an earlier leader did not finish: all tasks must be told soon.
-    StopAttempts(job_index, job.spec.checkpoint_grace_s + kSaveMargin,
-                 "others of them save already");
+    // An earlier leader may not have told all tasks.
+    StopAttempts(job_index, job.spec.checkpoint_grace_s + kCheckpointMarginSeconds,
+                 "some of its tasks write checkpoints already");
   } else if (job.gang_broken || (job.gang_started && !job.waiting_tasks.empty())) {
-    // They would notice it later and end all the same.
-    StopAttempts(job_index, 0, "a task of the gang is gone");
+    StopAttempts(job_index, 0, "a task was lost");
   } else if (!job.waiting_tasks.empty() && IsTooLateToComplete(job)) {
-    StopAttempts(job_index, 0, "no room for a lost task in time");
+    StopAttempts(job_index, 0, "a lost task could not be replaced in time");
   }
 }
 
@@ -122,33 +123,36 @@
 
 bool GangSupervisor::CanCheckpoint(const JobSpec& spec) const {
   return spec.checkpoint_interval_s > 0 &&
-         spec.checkpoint_grace_s + kSaveMargin <= settings_->gang_loss_detection_s;
+         spec.checkpoint_grace_s + kCheckpointMarginSeconds <= settings_->gang_loss_detection_s;
 }
 
-void GangSupervisor::StopGang(JobIndex job_index, const char* why) {
+void GangSupervisor::StopGang(JobIndex job_index, const char* reason) {
   const JobSpec& spec = (*job_store_)[job_index].spec;
-  StopAttempts(job_index, CanCheckpoint(spec) ? spec.checkpoint_grace_s + kSaveMargin : 0, why);
+  StopAttempts(job_index,
+               CanCheckpoint(spec) ? spec.checkpoint_grace_s + kCheckpointMarginSeconds : 0,
+               reason);
 }
 
 void GangSupervisor::HandlePreemptionNotice(MachineIndex machine_index, TaskAttempt* attempt,
                                             double seconds_left) {
   const JobIndex job_index = attempt->job;
   const Job& job = (*job_store_)[job_index];
-  const Attempt gang_attempt = ObserveAttempt(job_index);
+  const GangAttempt gang_attempt = ObserveAttempt(job_index);
   if (!job.gang_started) {
-    // It is replaced while the others gather.
+    // The task is replaced while the others wait.
     fleet_->RequestStop(machine_index, attempt, 0);
     return;
   }
-  const double sure = seconds_left * kSurePartOfNotice;
+  const double certain_s = seconds_left * kCertainNoticeShare;
   const double ran =
       gang_attempt.running_since < 0 ? 0 : clock_->Now() - gang_attempt.running_since;
-  if (ranking_->ExpectedTaskSeconds(job) - ran < sure) return;
-  const bool saves = CanCheckpoint(job.spec) && job.spec.checkpoint_grace_s + kSaveMargin < sure;
-  // Without time to save the progress since the last checkpoint is lost either way: the
-  // next attempt rather starts now.
-  StopAttempts(job_index, saves ? job.spec.checkpoint_grace_s + kSaveMargin : 0,
-               "the cloud takes one of its machines");
+  if (ranking_->ExpectedTaskSeconds(job) - ran < certain_s) return;
+  const double checkpoint_s = job.spec.checkpoint_grace_s + kCheckpointMarginSeconds;
+  const bool checkpoints = CanCheckpoint(job.spec) && checkpoint_s < certain_s;
+  // Without time for a checkpoint the work since the last one is lost either way: the next attempt
+  // starts the sooner.
+  StopAttempts(job_index, checkpoints ? checkpoint_s : 0,
+               "preemption notice for one of its machines");
 }
 
 }  // namespace deckhall
--- a/src/leader/gang_supervisor.h
+++ b/src/leader/gang_supervisor.h
@@ -1,6 +1,9 @@
-// Watches over gangs that were placed: one that lost a task after its start, or can't be
-// completed in time, is ended as a whole so that it starts again soon; stops reach all of
-// its tasks or none.
+// Supervises gangs after their start: an attempt that lost a task, or can't be completed in time,
+// is stopped as a whole, so that it starts again soon. A stop reaches all tasks of an attempt or
+// none.
+//
+// Owned by the leader. What it knows of an attempt is in Job::gang_attempt and the fields beside
+// it, and is rebuilt from the workers' heartbeats after a failover.
 #pragma once
 
 #include <functional>
@@ -17,36 +20,41 @@
   GangSupervisor(JobStore* job_store, Fleet* fleet, const Ranking* ranking, const Clock* clock,
                  const Settings* settings);
 
-  // A task of the gang ended there.
+  // A task of the gang exited there.
   void HandleTaskExit(const TaskAttempt& attempt);
-  // Looks at all gangs that are on machines.
+
+  // Checks all gangs that have tasks on machines.
   void CheckGangs();
-  // Stops all of the gang, with time to save if all of its tasks can.
-  void StopGang(JobIndex job_index, const char* why);
-  // The cloud takes a machine away that holds this task of a gang.
+
+  // Stops the whole gang; with time for its checkpoints if all of its tasks can write them.
+  // `reason` goes into the log.
+  void StopGang(JobIndex job_index, const char* reason);
+
+  // The cloud takes a machine that holds this task of a gang away in `seconds_left`.
   void HandlePreemptionNotice(MachineIndex machine_index, TaskAttempt* attempt,
                               double seconds_left);
 
  private:
-  // What is known of the present attempt.
-  struct Attempt {
-    uint64_t number = 0;
+  // The present attempt, as its tasks' heartbeats show it.
+  struct GangAttempt {
+    uint64_t number = 0;         // 0: none of the gang's tasks is wanted
     bool started = false;        // its tasks run, or did
-    bool checkpointing = false;  // some of its tasks were told to stop and save
-    double running_since = -1;
+    bool checkpointing = false;  // some of its tasks were told to stop
+    double running_since = -1;   // of the task that started last; negative: none runs
   };
 
-  using Visit = std::function<void(MachineIndex, TaskAttempt*)>;
-  // Calls `visit` for each attempt of the job that takes room on a machine.
-  void ForEachAttempt(JobIndex job_index, const Visit& visit);
-  Attempt ObserveAttempt(JobIndex job_index);
+  using AttemptVisitor = std::function<void(MachineIndex, TaskAttempt*)>;
+  // Calls `visit` for each of the job's attempts that take resources on a machine.
+  void ForEachAttempt(JobIndex job_index, const AttemptVisitor& visit);
+  GangAttempt ObserveAttempt(JobIndex job_index);
   void CheckGang(JobIndex job_index);
-  // Whether all of it can save before its tasks notice that others are gone.
+  void StopEarlierAttempts(JobIndex job_index, uint64_t present_attempt);
+  // Whether all tasks can write a checkpoint before they notice that others are gone.
   bool CanCheckpoint(const JobSpec& spec) const;
-  // A lost task is not replaced any more.
+  // Whether a lost task can't be replaced any more before the gang gives up.
   bool IsTooLateToComplete(const Job& job) const;
-  // Stops all of it that is still wanted.
-  void StopAttempts(JobIndex job_index, double grace_s, const char* why);
+  // Stops all tasks that are still wanted.
+  void StopAttempts(JobIndex job_index, double grace_period_s, const char* reason);
 
   JobStore* job_store_;
   Fleet* fleet_;
--- a/src/leader/placer.cc
+++ b/src/leader/placer.cc
@@ -1,14 +1,16 @@
 #include "leader/placer.h"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
-#include <cmath>
+#include <optional>
 
 namespace deckhall {
 namespace {
 
-constexpr double kEps = 1e-6;
+// Failures in a row after which a job is tried with one task at a time.
+constexpr uint32_t kFailingJobFailures = 3;
+// Arrays may use the headroom once they waited for this part of Tuning::starvation_s.
+constexpr double kHeadroomStarvationShare = 0.5;
+constexpr size_t kAllTasks = SIZE_MAX;
 
 }  // namespace
 
@@ -22,192 +24,213 @@
       provisioner_(provisioner),
       clock_(clock),
       tuning_(tuning),
-      preemption_(job_store, fleet, free_capacity, ledger, clock),
-      gangs_(job_store, fleet, free_capacity, &preemption_, clock, tuning) {}
+      preemptor_(job_store, fleet, free_capacity, ledger, clock),
+      gang_placer_(job_store, fleet, free_capacity, &preemptor_, clock, tuning) {}
 
-// The paper's delay scheduling: while jobs compete, one that would first have to
-// fetch its image lets the room pass, for as long as the fetch would take.
 double Placer::FetchPatienceSeconds(const Job& job) const {
   return tuning_->delay_fetches * FetchSeconds(job);
 }
 
 double Placer::FetchSeconds(const Job& job) const {
-  double rate = 0;
+  double min_rate = 0;
   for (const MachineType& type : provisioner_->types()) {
-    rate = rate == 0 ? type.fetch_gb_per_s : std::min(rate, type.fetch_gb_per_s);
+    min_rate = min_rate == 0 ? type.fetch_gb_per_s : std::min(min_rate, type.fetch_gb_per_s);
   }
-  return rate > 0 ? job.spec.image_gb / rate : 0;
+  return min_rate > 0 ? job.spec.image_gb / min_rate : 0;
 }
 
-// Ordinary room that replicas may need soon is not given to arrays. But none waits for
-// ever beside it: where nothing more can be rented, what found no place for so long gets
-// it, and gives way when a replica comes.
+// Where nothing more can be scaled out, a reserve without end would starve arrays. What they use
+// of it is preempted when a replica comes.
 double Placer::HeadroomReserve(const Job& job) const {
-  const bool starved = clock_->Now() - job.starved_since > tuning_->starvation_s / 2;
-  if (job.spec.service || starved) return 0;
+  const double waited = clock_->Now() - job.starved_since;
+  const bool may_use_headroom = waited > tuning_->starvation_s * kHeadroomStarvationShare;
+  if (job.spec.service || may_use_headroom) return 0;
   return free_capacity_->headroom() * tuning_->headroom_reserved_share;
 }
 
-void Placer::PlaceOn(JobIndex job_index, uint32_t node, uint64_t attempt_number) {
+void Placer::PlaceOn(JobIndex job_index, MachineIndex machine_index, uint64_t attempt_number) {
   Job& job = (*job_store_)[job_index];
-  const bool passed = !job.spec.service && ranking_->IsStarved(job, clock_->Now());
-  fleet_->PlaceTask(node, job_index, job.waiting_tasks.back(), attempt_number, passed);
-  free_capacity_->Allocate(job, node);
-  (*fleet_)[node].idle_since = -1;
+  const bool by_aging = !job.spec.service && ranking_->IsStarved(job, clock_->Now());
+  fleet_->PlaceTask(machine_index, job_index, job.waiting_tasks.back(), attempt_number, by_aging);
+  free_capacity_->Allocate(job, machine_index);
+  (*fleet_)[machine_index].idle_since = -1;
+}
+
+bool Placer::FailedRequest::Covers(const ResourceRequest& request) const {
+  const bool as_large = request.cores + kResourceEpsilon >= resources.cores &&
+                        request.memory_gb + kResourceEpsilon >= resources.memory_gb &&
+                        request.gpus + kResourceEpsilon >= resources.gpus;
+  const bool same_zones = required_zone == UINT32_MAX || required_zone == request.required_zone;
+  const bool same_kinds = spot_tolerant || !request.spot_tolerant;
+  const bool same_types = allowed_types == nullptr || (request.allowed_types != nullptr &&
+                                                       *request.allowed_types == *allowed_types);
+  return as_large && same_zones && same_kinds && same_types;
 }
 
 bool Placer::FailedBefore(const ResourceRequest& request) const {
-  return std::any_of(
-      failed_requests_.begin(), failed_requests_.end(), [&request](const FailedRequest& failed) {
-        return request.cores + kEps >= failed.cores &&
-               request.memory_gb + kEps >= failed.memory_gb && request.gpus + kEps >= failed.gpus &&
-               (failed.zone == UINT32_MAX || failed.zone == request.required_zone) &&
-               (failed.spot_tolerant || !request.spot_tolerant) &&
-               (failed.allowed_types == nullptr ||
-                (request.allowed_types != nullptr &&
-                 *request.allowed_types == *failed.allowed_types));
-      });
+  return std::any_of(failed_requests_.begin(), failed_requests_.end(),
+                     [&request](const FailedRequest& failed) { return failed.Covers(request); });
+}
+
+// Replicas that run don't count as unproven: they never complete, and the missing ones would wait
+// without end.
+size_t Placer::LimitFailingJob(const Job& job, size_t max_tasks) const {
+  if (job.consecutive_failures < kFailingJobFailures) return max_tasks;
+  const uint32_t unproven =
+      job.spec.service ? job.tasks_placed - job.tasks_running : job.tasks_placed;
+  return std::min<size_t>(max_tasks, unproven > 0 ? 0 : 1);
+}
+
+bool Placer::MayUseOrdinaryMachines(const Job& job, double reserve) const {
+  if (job.spec.service) return true;
+  return free_capacity_->free_ordinary() - reserve + kResourceEpsilon >= job.spec.cores;
 }
 
-void Placer::PlaceTasks(JobIndex job_index, bool here, size_t most) {
+void Placer::PlaceTasks(JobIndex job_index, bool cached_only, size_t max_tasks) {
   Job& job = (*job_store_)[job_index];
   const double now = clock_->Now();
   if (!job.acknowledged || job.waiting_tasks.empty() || now < job.backoff_until) return;
   if (!free_capacity_->HasTeamQuota(job)) return;
-  std::vector<char> zones;
-  // Where its tasks are, those on their way out included.
-  std::vector<uint32_t> on;
-  if (job.spec.service || job.spec.single_zone || job.spec.anti_affinity) on = job.machines;
-  if (!free_capacity_->AllowedZones(job, on, &zones)) return;
-  ResourceRequest request = free_capacity_->RequestFor(job, zones, on);
-  request.sibling_machines = &on;
+  std::vector<uint32_t> sibling_machines;
+  if (job.spec.service || job.spec.single_zone || job.spec.anti_affinity) {
+    sibling_machines = job.machines;
+  }
+  std::optional<ZoneMask> zones = free_capacity_->AllowedZones(job, sibling_machines);
+  if (!zones) return;
+  ResourceRequest request = free_capacity_->RequestFor(job, *zones, sibling_machines);
+  request.sibling_machines = &sibling_machines;
   request.cached_or_fetching_only = contended_ && !job.spec.service && !job.guaranteed &&
                                     now - job.waiting_since < FetchPatienceSeconds(job);
-  request.cached_only = here;
+  request.cached_only = cached_only;
   if (FailedBefore(request)) return;
-  // A job that keeps failing shows its worth with one task at a time. Replicas that run
-  // have shown it: they never complete, and the missing ones would wait for ever.
-  const uint32_t unproven =
-      job.spec.service ? job.tasks_placed - job.tasks_running : job.tasks_placed;
-  if (job.consecutive_failures >= 3) most = std::min<size_t>(most, unproven > 0 ? 0 : 1);
+  max_tasks = LimitFailingJob(job, max_tasks);
+  // As of the first task: placing one ends the starvation that may lift the reserve.
   const double reserve = HeadroomReserve(job);
-  auto ordinary = [&] {
-    return job.spec.service || free_capacity_->free_ordinary() - reserve + kEps >= job.spec.cores;
-  };
-  if (!ordinary() &&
-      (!job.spec.spot_tolerant || free_capacity_->free_spot() + kEps < job.spec.cores))
-    return;
-  BestFitQueue picker(&request, &free_capacity_->capacities(), open_machines_);
-  free_capacity_->work_units += open_machines_.size();
+  const bool fits_on_spot =
+      job.spec.spot_tolerant && free_capacity_->free_spot() + kResourceEpsilon >= job.spec.cores;
+  if (!MayUseOrdinaryMachines(job, reserve) && !fits_on_spot) return;
+  BestFitQueue queue(&request, &free_capacity_->capacities(), machines_with_room_);
+  free_capacity_->work_units += machines_with_room_.size();
   size_t placed = 0;
-  while (!job.waiting_tasks.empty() && placed < most && free_capacity_->HasTeamQuota(job)) {
-    if (placed > 0 && !free_capacity_->AllowedZones(job, on, &zones)) break;
-    const int at = picker.PopBest(ordinary());
-    if (at < 0) {
-      if (placed == 0 && job.spec.service && !here && request.allowed_zones == nullptr) {
-        failed_requests_.push_back({request.cores, request.memory_gb, request.gpus,
-                                    request.required_zone, request.spot_tolerant,
-                                    request.allowed_types});
+  while (!job.waiting_tasks.empty() && placed < max_tasks && free_capacity_->HasTeamQuota(job)) {
+    if (placed > 0) {
+      std::optional<ZoneMask> left = free_capacity_->AllowedZones(job, sibling_machines);
+      if (!left) break;
+      *zones = std::move(*left);  // the request borrows it
+    }
+    const std::optional<MachineIndex> machine = queue.PopBest(MayUseOrdinaryMachines(job, reserve));
+    if (!machine) {
+      if (placed == 0 && job.spec.service && !cached_only && request.allowed_zones == nullptr) {
+        failed_requests_.push_back(
+            {request, request.required_zone, request.spot_tolerant, request.allowed_types});
       }
       break;
     }
-    on.push_back(static_cast<uint32_t>(at));
-    PlaceOn(job_index, static_cast<uint32_t>(at), fleet_->NewAttemptNumber());
-    picker.Reinsert(at);
+    sibling_machines.push_back(*machine);
+    PlaceOn(job_index, *machine, fleet_->NewAttemptNumber());
+    queue.Reinsert(*machine);
     ++placed;
   }
 }
 
-// Where the image is, a replica runs at once: there is room, or is made by stopping
-// arrays. The rest goes where the image must be fetched.
+// A replica starts at once where its image is cached: on free capacity, or on what preemption
+// frees. The rest goes where the image must be fetched.
 void Placer::PlaceService(JobIndex job_index) {
   const Job& job = (*job_store_)[job_index];
-  PlaceTasks(job_index, true, SIZE_MAX);
+  PlaceTasks(job_index, true, kAllTasks);
   if (job.waiting_tasks.empty()) return;
-  size_t coming = 0;
-  Preemptor::RoomRequest room_request;
-  room_request.job = job_index;
+  size_t being_freed = 0;
   if (FetchSeconds(job) > tuning_->long_fetch_s) {
-    // When many are lost at once, the next pass is far sooner than any fetch.
-    if (preemption_.Exhausted()) {
+    // The next pass comes far sooner than any fetch would end.
+    if (preemptor_.Exhausted()) {
       fleet_->placement_needed = true;
       return;
     }
-    room_request.max_places = job.waiting_tasks.size();
-    room_request.cached_image_only = true;
-    // To spare it the fetch, no more work is lost than the fetch would hold up.
-    room_request.max_loss_per_place =
-        tuning_->preempt_for_image * FetchSeconds(job) * job.spec.cores;
-    coming = preemption_.MakeRoom(room_request);
+    Preemptor::RoomRequest at_image;
+    at_image.job = job_index;
+    at_image.max_places = job.waiting_tasks.size();
+    at_image.cached_image_only = true;
+    at_image.max_loss_per_place = tuning_->preempt_for_image * FetchSeconds(job) * job.spec.cores;
+    being_freed = preemptor_.MakeRoom(at_image);
   }
-  if (coming >= job.waiting_tasks.size()) return;
-  PlaceTasks(job_index, false, job.waiting_tasks.size() - coming);
-  if (job.waiting_tasks.size() <= coming) return;
+  if (being_freed >= job.waiting_tasks.size()) return;
+  PlaceTasks(job_index, false, job.waiting_tasks.size() - being_freed);
+  if (job.waiting_tasks.size() <= being_freed) return;
   Preemptor::RoomRequest anywhere;
   anywhere.job = job_index;
-  anywhere.max_places = job.waiting_tasks.size() - coming;
-  preemption_.MakeRoom(anywhere);
+  anywhere.max_places = job.waiting_tasks.size() - being_freed;
+  preemptor_.MakeRoom(anywhere);
 }
 
-// Most of what runs ends soon by itself: only after a while is work thrown away.
 void Placer::PreemptForArray(JobIndex job_index) {
   const Job& job = (*job_store_)[job_index];
   if (job.waiting_tasks.empty() || !job.guaranteed) return;
+  // Most tasks end soon by themselves.
   if (clock_->Now() - job.waiting_since < tuning_->preempt_after_s) return;
-  Preemptor::RoomRequest room_request;
-  room_request.job = job_index;
-  room_request.max_places = job.waiting_tasks.size();
-  // Room that arrays may not take is not made for them.
-  room_request.allow_ordinary_machines =
-      free_capacity_->free_ordinary() + kEps >= HeadroomReserve(job);
-  preemption_.MakeRoom(room_request);
+  Preemptor::RoomRequest room;
+  room.job = job_index;
+  room.max_places = job.waiting_tasks.size();
+  room.allow_ordinary_machines =
+      free_capacity_->free_ordinary() + kResourceEpsilon >= HeadroomReserve(job);
+  preemptor_.MakeRoom(room);
 }
 
-void Placer::PlaceWaitingTasks() {
-  const double now = clock_->Now();
-  free_capacity_->Refresh();
-  on_refreshed();
-  ranking_->Refresh();
-  failed_requests_.clear();
-  gangs_.BeginPass();
-  // Missing replicas first, the most important services before others.
-  std::vector<JobIndex> services;
-  double least = 1e9;
-  double waiting = 0;
+Placer::Backlog Placer::CollectBacklog() const {
+  Backlog backlog;
   for (JobIndex job_index : job_store_->active_jobs()) {
     const Job& job = (*job_store_)[job_index];
     if (job.waiting_tasks.empty() || !job.acknowledged) continue;
-    least = std::min(least, job.spec.cores);
+    backlog.min_task_cores =
+        backlog.empty ? job.spec.cores : std::min(backlog.min_task_cores, job.spec.cores);
+    backlog.empty = false;
     if (job.spec.service) {
-      services.push_back(job_index);
+      backlog.services.push_back(job_index);
     } else {
-      waiting += job.spec.cores * static_cast<double>(job.waiting_tasks.size());
+      backlog.array_cores += job.spec.cores * static_cast<double>(job.waiting_tasks.size());
     }
   }
-  if (least >= 1e9) return;
-  open_machines_ = free_capacity_->MachinesWithRoom(least);
-  free_capacity_->work_units += open_machines_.size();
+  return backlog;
+}
+
+void Placer::PlaceServices(std::vector<JobIndex> services) {
   std::stable_sort(services.begin(), services.end(), [this](JobIndex a, JobIndex b) {
     return (*job_store_)[a].spec.priority > (*job_store_)[b].spec.priority;
   });
-  preemption_.BeginServices();
+  preemptor_.BeginServices();
   for (JobIndex job_index : services) PlaceService(job_index);
-  // Then the best-ranked array with a task that fits.
-  contended_ = waiting > free_capacity_->free_ordinary() + free_capacity_->free_spot();
-  preemption_.BeginArrays();
+}
+
+void Placer::PlaceArrays(double now) {
+  preemptor_.BeginArrays();
   for (JobIndex job_index : ranking_->order()) {
     const Job& job = (*job_store_)[job_index];
     if (job.lifecycle != JobLifecycle::kActive || job.waiting_tasks.empty()) continue;
     if (job.spec.gang) {
-      gangs_.Place(job_index, open_machines_);
+      gang_placer_.Place(job_index, machines_with_room_);
       continue;
     }
-    // Once: with the next task it is again where its rank puts it.
-    const bool passed = ranking_->IsStarved(job, now);
-    PlaceTasks(job_index, false, passed ? 1 : SIZE_MAX);
-    if (passed && !ranking_->IsStarved(job, now)) ranking_->Invalidate();
+    // A starved job goes first with one task; the next one waits for its rank again.
+    const bool starved = ranking_->IsStarved(job, now);
+    PlaceTasks(job_index, false, starved ? 1 : kAllTasks);
+    if (starved && !ranking_->IsStarved(job, now)) ranking_->Invalidate();
     PreemptForArray(job_index);
   }
 }
 
+void Placer::PlaceWaitingTasks() {
+  const double now = clock_->Now();
+  free_capacity_->Refresh();
+  on_refreshed();
+  ranking_->Refresh();
+  failed_requests_.clear();
+  gang_placer_.BeginPass();
+  Backlog backlog = CollectBacklog();
+  if (backlog.empty) return;
+  machines_with_room_ = free_capacity_->MachinesWithRoom(backlog.min_task_cores);
+  free_capacity_->work_units += machines_with_room_.size();
+  PlaceServices(std::move(backlog.services));
+  contended_ = backlog.array_cores > free_capacity_->free_ordinary() + free_capacity_->free_spot();
+  PlaceArrays(now);
+}
+
 }  // namespace deckhall
--- a/src/leader/ranking.cc
+++ b/src/leader/ranking.cc
@@ -8,7 +8,26 @@
 namespace deckhall {
 namespace {
 
-constexpr double kEps = 1e-6;
+// Run times outside this range of the estimate are taken as its end.
+constexpr double kMinRuntimeRatio = 0.05;
+constexpr double kMaxRuntimeRatio = 20;
+// Older tasks fade once a class has completed so many.
+constexpr double kMaxClassWeight = 200;
+// The user's estimate counts like so many completed tasks.
+constexpr double kEstimateWeight = 10;
+constexpr double kMinTaskSeconds = 1;
+constexpr double kMinTaskCores = 0.1;
+constexpr double kMinRemainingCoreSeconds = 1e-3;
+// A class that takes this much longer than estimated has wrong estimates.
+constexpr double kUnderestimatedRatio = 1.2;
+constexpr double kCorrectedWorkShare = 0.5;
+
+bool SubmittedBefore(const Job& first, const Job& second) {
+  if (first.submitted_wall != second.submitted_wall) {
+    return first.submitted_wall < second.submitted_wall;
+  }
+  return first.id < second.id;
+}
 
 }  // namespace
 
@@ -16,98 +35,111 @@
   if (job.job_class >= classes_.size()) classes_.resize(job.job_class + 1);
   if (job.spec.estimated_runtime_s <= 0 || run_s <= 0) return;
   ClassStats& stats = classes_[job.job_class];
-  const double x = std::log(std::clamp(run_s / job.spec.estimated_runtime_s, 0.05, 20.0));
-  stats.weight = std::min(stats.weight + 1, 200.0);
-  stats.log_ratio += (x - stats.log_ratio) / stats.weight;
+  const double log_ratio = std::log(
+      std::clamp(run_s / job.spec.estimated_runtime_s, kMinRuntimeRatio, kMaxRuntimeRatio));
+  stats.weight = std::min(stats.weight + 1, kMaxClassWeight);
+  stats.log_ratio += (log_ratio - stats.log_ratio) / stats.weight;
 }
 
 double Ranking::ExpectedTaskSeconds(const Job& job) const {
   double ratio = 1;
   if (job.job_class < classes_.size()) {
     const ClassStats& stats = classes_[job.job_class];
-    // The owners' word counts like ten finished tasks.
-    ratio = std::exp(stats.log_ratio * stats.weight / (stats.weight + 10));
+    ratio = std::exp(stats.log_ratio * stats.weight / (stats.weight + kEstimateWeight));
   }
-  return std::max(1.0, job.spec.estimated_runtime_s * ratio);
+  return std::max(kMinTaskSeconds, job.spec.estimated_runtime_s * ratio);
 }
 
 double Ranking::RemainingCoreSeconds(const Job& job) const {
   const auto tasks = static_cast<double>(job.tasks.size() - job.tasks_done);
-  return std::max(tasks * std::max(job.spec.cores, 0.1) * ExpectedTaskSeconds(job), 1e-3);
+  return std::max(tasks * std::max(job.spec.cores, kMinTaskCores) * ExpectedTaskSeconds(job),
+                  kMinRemainingCoreSeconds);
 }
 
-void Ranking::ApplyGuarantees() {
+// A job is guaranteed while it and its team's earlier unfinished jobs fit into the guarantee.
+void Ranking::MarkGuaranteedJobs() {
   std::vector<JobIndex> order = job_store_->active_jobs();
   std::sort(order.begin(), order.end(), [this](JobIndex a, JobIndex b) {
-    const Job& x = (*job_store_)[a];
-    const Job& y = (*job_store_)[b];
-    if (x.submitted_wall != y.submitted_wall) return x.submitted_wall < y.submitted_wall;
-    return x.id < y.id;
+    return SubmittedBefore((*job_store_)[a], (*job_store_)[b]);
   });
-  std::vector<ResourceUsage> sum(job_store_->teams.size());
+  std::vector<ResourceUsage> requested(job_store_->teams.size());
   for (JobIndex job_index : order) {
     Job& job = (*job_store_)[job_index];
     const Team* team = free_capacity_->TeamOf(job.team);
-    ResourceUsage& s = sum[job.team];
-    const auto n = static_cast<double>(job.tasks.size());
-    s.cores += n * job.spec.cores;
-    s.gpus += n * job.spec.gpus;
-    job.guaranteed = team != nullptr && team->cores > 0 && s.cores <= team->cores + kEps &&
-                     s.gpus <= team->gpus + kEps;
+    ResourceUsage& sum = requested[job.team];
+    const auto tasks = static_cast<double>(job.tasks.size());
+    sum.cores += tasks * job.spec.cores;
+    sum.gpus += tasks * job.spec.gpus;
+    job.guaranteed = team != nullptr && team->cores > 0 &&
+                     sum.cores <= team->cores + kResourceEpsilon &&
+                     sum.gpus <= team->gpus + kResourceEpsilon;
   }
 }
 
-// None of its tasks found a place for so long: it goes first once, whatever its
-// size, team or priority. Otherwise a stream of jobs ranked better could keep it
-// waiting for ever. Its limit, its zones and who may be stopped for it stay as
-// they are.
 bool Ranking::IsStarved(const Job& job, double now) const {
   return !job.waiting_tasks.empty() && now - job.starved_since > tuning_->starvation_s;
 }
 
+// The virtual schedule has completed a job that really goes on. Unless it was only kept waiting,
+// its estimate was too low: without a correction it would hold the first rank for good.
+void Ranking::CorrectExhaustedEstimate(Job* job) const {
+  if (job->remaining_core_seconds > 0 || job->tasks_done == 0) return;
+  const double estimated = job->spec.estimated_runtime_s * job->spec.cores;
+  if (ExpectedTaskSeconds(*job) * job->spec.cores > estimated * kUnderestimatedRatio) {
+    job->remaining_core_seconds = RemainingCoreSeconds(*job) * kCorrectedWorkShare;
+  }
+}
+
+double Ranking::WeightOf(const Job& job) const {
+  const double priority_weights[] = {tuning_->weight_idle, tuning_->weight_normal,
+                                     tuning_->weight_urgent, tuning_->weight_production};
+  const Team* team = free_capacity_->TeamOf(job.team);
+  const double team_weight = team != nullptr && team->cores > 0 ? team->cores : 1.0;
+  return team_weight * priority_weights[static_cast<int>(job.spec.priority)];
+}
+
+void Ranking::AdvanceVirtualSchedule(const std::vector<JobIndex>& arrays, double now) {
+  std::vector<FspJob> schedule;
+  for (JobIndex job_index : arrays) {
+    Job& job = (*job_store_)[job_index];
+    CorrectExhaustedEstimate(&job);
+    const auto unfinished = static_cast<double>(job.tasks.size() - job.tasks_done);
+    FspJob entry;
+    entry.remaining = job.remaining_core_seconds;
+    entry.weight = WeightOf(job);
+    entry.cap = std::max(kMinTaskCores, unfinished * job.spec.cores);
+    schedule.push_back(entry);
+  }
+  if (ranked_at_ >= 0) FspAdvance(&schedule, free_capacity_->total_cores(), now - ranked_at_);
+  const std::vector<double> finish = FspFinish(schedule, free_capacity_->total_cores());
+  for (size_t i = 0; i < arrays.size(); ++i) {
+    Job& job = (*job_store_)[arrays[i]];
+    job.remaining_core_seconds = schedule[i].remaining;
+    job.virtual_finish_time = finish[i];
+  }
+}
+
+bool Ranking::RanksBefore(const Job& first, const Job& second, double now) const {
+  const bool first_starved = IsStarved(first, now);
+  if (first_starved != IsStarved(second, now)) return first_starved;
+  if (first.guaranteed != second.guaranteed) return first.guaranteed;
+  if (first.virtual_finish_time != second.virtual_finish_time) {
+    return first.virtual_finish_time < second.virtual_finish_time;
+  }
+  return SubmittedBefore(first, second);
+}
+
 void Ranking::Refresh() {
   const double now = clock_->Now();
   if (now < next_refresh_) return;
-  const double weights[] = {tuning_->weight_idle, tuning_->weight_normal, tuning_->weight_urgent,
-                            tuning_->weight_production};
   std::vector<JobIndex> arrays;
-  std::vector<FspJob> run;
   for (JobIndex job_index : job_store_->active_jobs()) {
-    Job& job = (*job_store_)[job_index];
-    if (job.spec.service) continue;
-    arrays.push_back(job_index);
-    if (job.remaining_core_seconds <= 0 && job.tasks_done > 0) {
-      // Over in the imagined run and not in the real one. Unless it was only
-      // kept waiting, its estimate was too low: it is measured anew, or it would
-      // hold the first rank for good.
-      const double est = job.spec.estimated_runtime_s * job.spec.cores;
-      if (ExpectedTaskSeconds(job) * job.spec.cores > est * 1.2)
-        job.remaining_core_seconds = RemainingCoreSeconds(job) * 0.5;
-    }
-    FspJob f;
-    f.remaining = job.remaining_core_seconds;
-    const Team* team = free_capacity_->TeamOf(job.team);
-    f.weight = (team != nullptr && team->cores > 0 ? team->cores : 1.0) *
-               weights[static_cast<int>(job.spec.priority)];
-    f.cap = std::max(0.1, static_cast<double>(job.tasks.size() - job.tasks_done) * job.spec.cores);
-    run.push_back(f);
-  }
-  if (ranked_at_ >= 0) FspAdvance(&run, free_capacity_->total_cores(), now - ranked_at_);
-  const auto finish = FspFinish(run, free_capacity_->total_cores());
-  for (size_t i = 0; i < arrays.size(); ++i) {
-    (*job_store_)[arrays[i]].remaining_core_seconds = run[i].remaining;
-    (*job_store_)[arrays[i]].virtual_finish_time = finish[i];
+    if (!(*job_store_)[job_index].spec.service) arrays.push_back(job_index);
   }
-  ApplyGuarantees();
+  AdvanceVirtualSchedule(arrays, now);
+  MarkGuaranteedJobs();
   std::sort(arrays.begin(), arrays.end(), [this, now](JobIndex a, JobIndex b) {
-    const Job& x = (*job_store_)[a];
-    const Job& y = (*job_store_)[b];
-    if (IsStarved(x, now) != IsStarved(y, now)) return IsStarved(x, now);
-    if (x.guaranteed != y.guaranteed) return x.guaranteed;
-    if (x.virtual_finish_time != y.virtual_finish_time)
-      return x.virtual_finish_time < y.virtual_finish_time;
-    if (x.submitted_wall != y.submitted_wall) return x.submitted_wall < y.submitted_wall;
-    return x.id < y.id;
+    return RanksBefore((*job_store_)[a], (*job_store_)[b], now);
   });
   for (size_t i = 0; i < arrays.size(); ++i) {
     (*job_store_)[arrays[i]].rank = static_cast<uint32_t>(i);
--- a/src/leader/ranking.h
+++ b/src/leader/ranking.h
@@ -1,5 +1,8 @@
-// Which array goes first: the paper's imagined run over the jobs in the book,
-// with guarantees before it and a bound on how long a job may be passed over.
+// Order in which arrays get free capacity: the paper's Fair Sojourn Protocol over the unfinished
+// jobs (sched/fsp.h), with teams' guarantees before it and aging as the bound on starvation.
+//
+// Owned by the leader of a term. Ranks and remaining work live in the jobs; learned run times live
+// here and are lost with the term.
 #pragma once
 
 #include <vector>
@@ -14,35 +17,50 @@
           const Tuning* tuning)
       : job_store_(job_store), free_capacity_(free_capacity), clock_(clock), tuning_(tuning) {}
 
-  // None of its tasks found a place for so long that it goes first once.
+  // Aging: none of the job's tasks was placed for Tuning::starvation_s. It then goes first once,
+  // whatever its size, team or priority; its quota, its zones and what may be preempted for it
+  // stay as they are.
   bool IsStarved(const Job& job, double now) const;
-  // A job came or went: ranks are refreshed before the next use.
+
+  // A job came or went: ranks are computed anew before the next use.
   void Invalidate() { next_refresh_ = 0; }
-  // Refreshes the ranks if that is due.
+
+  // Computes the ranks if they are invalid or older than Tuning::refresh_s.
   void Refresh();
-  // Arrays, the first to be served first.
+
+  // Arrays and gangs by rank, as of the last Refresh(). Jobs may have ended since.
   const std::vector<JobIndex>& order() const { return order_; }
-  // A task completed after running for so long.
+
+  // Learns from a task of the job that completed after `run_s` seconds.
   void RecordRuntime(const Job& job, double run_s);
-  // Expected run time of one of its tasks.
+
+  // Expected run time of one task, in seconds: the user's estimate, corrected by what the job's
+  // class took so far.
   double ExpectedTaskSeconds(const Job& job) const;
-  // Work left by the present estimate, in core-seconds.
+
+  // Work that is left by present expectation, in core-seconds.
   double RemainingCoreSeconds(const Job& job) const;
 
  private:
+  // What is known of the run times of a class of jobs.
   struct ClassStats {
-    double log_ratio = 0;  // real over estimated run time
-    double weight = 0;
+    double log_ratio = 0;  // mean logarithm of real over estimated run time
+    double weight = 0;     // tasks that it stands for
   };
 
-  void ApplyGuarantees();
+  void MarkGuaranteedJobs();
+  // Simulates the time since the last refresh and notes remaining work and virtual finish times.
+  void AdvanceVirtualSchedule(const std::vector<JobIndex>& arrays, double now);
+  double WeightOf(const Job& job) const;
+  void CorrectExhaustedEstimate(Job* job) const;
+  bool RanksBefore(const Job& first, const Job& second, double now) const;
 
   JobStore* job_store_;
   const FreeCapacity* free_capacity_;
   const Clock* clock_;
   const Tuning* tuning_;
   double next_refresh_ = 0;
-  double ranked_at_ = -1;
+  double ranked_at_ = -1;  // negative: never
   std::vector<JobIndex> order_;
   std::vector<ClassStats> classes_;
 };
--- a/src/sched/fsp.cc
+++ b/src/sched/fsp.cc
@@ -7,13 +7,16 @@
 namespace {
 
 constexpr double kTiny = 1e-9;
-// Beyond so many steps the rest is ranked by what is left over the present
-// share: the order of the far end of a long queue matters little.
-constexpr size_t kMaxSteps = 200;
+// Bounds the work: after so many completions the rest is ranked by its present share.
+constexpr size_t kMaxCompletions = 200;
+// Work below this is rounding.
+constexpr double kDoneCoreSeconds = 1e-6;
+constexpr double kMinShareCores = 1e-3;
+constexpr double kMinStepSeconds = 1e-6;
 
-// Jobs that reach their cap first are those with the least cap per weight. The
-// order stays as jobs complete.
-std::vector<size_t> ByCap(const std::vector<FspJob>& jobs) {
+// Unfinished jobs by cap over weight: in this order they reach their cap. The order holds as
+// jobs complete.
+std::vector<size_t> OrderByCap(const std::vector<FspJob>& jobs) {
   std::vector<size_t> order;
   for (size_t i = 0; i < jobs.size(); ++i) {
     if (jobs[i].remaining > kTiny && jobs[i].cap > 0 && jobs[i].weight > 0) order.push_back(i);
@@ -26,8 +29,8 @@
   return order;
 }
 
-void Share(const std::vector<FspJob>& jobs, const std::vector<size_t>& order, double capacity,
-           std::vector<double>* share) {
+void ComputeShares(const std::vector<FspJob>& jobs, const std::vector<size_t>& order,
+                   double capacity, std::vector<double>* share) {
   double weights = 0;
   for (size_t i : order) weights += jobs[i].weight;
   for (size_t i : order) {
@@ -38,23 +41,23 @@
   }
 }
 
-// Runs until the next job completes or the time is over; returns the time run.
-// Completed jobs leave the order, with nothing left. Negative: nobody has a share.
-double Step(std::vector<FspJob>* jobs, std::vector<size_t>* order, double capacity, double most,
-            std::vector<double>* share) {
-  Share(*jobs, *order, capacity, share);
+// Advances until the next job completes, at most by `most` seconds. Completed jobs leave the
+// order. Returns the seconds advanced; negative: no job has a share.
+double AdvanceToCompletion(std::vector<FspJob>* jobs, std::vector<size_t>* order, double capacity,
+                           double most, std::vector<double>* share) {
+  ComputeShares(*jobs, *order, capacity, share);
   double step = most;
-  bool moves = false;
+  bool any_share = false;
   for (size_t i : *order) {
     if ((*share)[i] <= kTiny) continue;
-    moves = true;
+    any_share = true;
     step = std::min(step, (*jobs)[i].remaining / (*share)[i]);
   }
-  if (!moves) return -1;
+  if (!any_share) return -1;
   for (size_t i : *order) {
     FspJob& job = (*jobs)[i];
     job.remaining = std::max(0.0, job.remaining - (*share)[i] * step);
-    if (job.remaining <= 1e-6) job.remaining = 0;
+    if (job.remaining <= kDoneCoreSeconds) job.remaining = 0;
   }
   std::erase_if(*order, [jobs](size_t i) { return (*jobs)[i].remaining == 0; });
   return step;
@@ -64,36 +67,38 @@
 
 std::vector<double> FspShares(const std::vector<FspJob>& jobs, double capacity) {
   std::vector<double> share(jobs.size(), 0);
-  Share(jobs, ByCap(jobs), capacity, &share);
+  ComputeShares(jobs, OrderByCap(jobs), capacity, &share);
   return share;
 }
 
-void FspAdvance(std::vector<FspJob>* jobs, double capacity, double dt) {
-  std::vector<size_t> order = ByCap(*jobs);
+void FspAdvance(std::vector<FspJob>* jobs, double capacity, double seconds) {
+  std::vector<size_t> order = OrderByCap(*jobs);
   std::vector<double> share(jobs->size(), 0);
-  while (dt > kTiny && !order.empty()) {
-    const double step = Step(jobs, &order, capacity, dt, &share);
+  while (seconds > kTiny && !order.empty()) {
+    const double step = AdvanceToCompletion(jobs, &order, capacity, seconds, &share);
     if (step < 0) return;
-    dt -= std::max(step, 1e-6);
+    seconds -= std::max(step, kMinStepSeconds);
   }
 }
 
 std::vector<double> FspFinish(std::vector<FspJob> jobs, double capacity) {
   std::vector<double> finish(jobs.size(), 0);
-  std::vector<size_t> order = ByCap(jobs);
+  std::vector<size_t> order = OrderByCap(jobs);
   std::vector<double> share(jobs.size(), 0);
   double now = 0;
   for (size_t round = 0; !order.empty(); ++round) {
-    const std::vector<size_t> open = order;
-    const double step = round >= kMaxSteps ? -1
-                                           : Step(&jobs, &order, capacity,
+    const std::vector<size_t> unfinished = order;
+    const double step = round >= kMaxCompletions
+                            ? -1
+                            : AdvanceToCompletion(&jobs, &order, capacity,
                                                   std::numeric_limits<double>::infinity(), &share);
     if (step < 0) {
-      for (size_t i : order) finish[i] = now + jobs[i].remaining / std::max(share[i], 1e-3);
+      for (size_t i : order)
+        finish[i] = now + jobs[i].remaining / std::max(share[i], kMinShareCores);
       break;
     }
     now += step;
-    for (size_t i : open) {
+    for (size_t i : unfinished) {
       if (jobs[i].remaining == 0) finish[i] = now;
     }
   }
--- a/src/sched/fsp.h
+++ b/src/sched/fsp.h
@@ -1,25 +1,25 @@
-// The paper's ranking: an imagined weighted processor-sharing run over the
-// unfinished jobs; who would finish first there goes first here.
+// Fair Sojourn Protocol: ranks jobs by when a simulated weighted processor-sharing schedule would
+// complete them (the paper, 3.2 and 3.3). Pure.
 #pragma once
 
 #include <vector>
 
 namespace deckhall {
 
+// A job in the simulated schedule.
 struct FspJob {
-  double remaining = 0;  // core-seconds still to do in the imagined run
+  double remaining = 0;  // core-seconds still to do
   double weight = 1;
-  double cap = 0;  // cores its unfinished tasks can use at once
+  double cap = 0;  // cores that its unfinished tasks can use at once
 };
 
-// Cores each job gets of `capacity`: by weight, none more than its cap.
+// Cores that each job gets of `capacity`: by weight, none more than its cap (water-filling).
 std::vector<double> FspShares(const std::vector<FspJob>& jobs, double capacity);
 
-// Lets the imagined run go on for `dt` seconds.
-void FspAdvance(std::vector<FspJob>* jobs, double capacity, double dt);
+// Advances the simulated schedule by `seconds`, on `capacity` cores.
+void FspAdvance(std::vector<FspJob>* jobs, double capacity, double seconds);
 
-// Seconds from now until each job is complete in the imagined run, should no
-// other job arrive.
+// Virtual finish times: seconds from now until each job is complete, if none arrives meanwhile.
 std::vector<double> FspFinish(std::vector<FspJob> jobs, double capacity);
 
 }  // namespace deckhall
--- /dev/null
+++ b/src/sched/resources.h
@@ -0,0 +1,30 @@
+// Amounts of the schedulable resources, and arithmetic on them.
+#pragma once
+
+namespace deckhall {
+
+// Amounts of what a machine has and a task takes.
+struct Resources {
+  double cores = 0;
+  double gpus = 0;
+  double memory_gb = 0;
+};
+
+// Tolerance of comparisons, since sums of decimal amounts are not exact.
+constexpr double kResourceEpsilon = 1e-6;
+
+inline Resources& operator+=(Resources& sum, const Resources& added) {
+  sum.cores += added.cores;
+  sum.gpus += added.gpus;
+  sum.memory_gb += added.memory_gb;
+  return sum;
+}
+
+inline Resources& operator-=(Resources& rest, const Resources& taken) {
+  rest.cores -= taken.cores;
+  rest.gpus -= taken.gpus;
+  rest.memory_gb -= taken.memory_gb;
+  return rest;
+}
+
+}  // namespace deckhall
--- a/src/sched/scale_out_plan.cc
+++ b/src/sched/scale_out_plan.cc
@@ -2,28 +2,38 @@
 
 #include <algorithm>
 #include <cmath>
+#include <optional>
 
 namespace deckhall {
 namespace {
 
-// How many such tasks a machine takes.
+// Tolerance of divisions of decimal amounts.
+constexpr double kRatioEpsilon = 1e-9;
+constexpr double kUnboundedTasks = 1e9;
+// A pool that holds all machines counts as this share dearer: zones share the risk.
+constexpr double kSpreadCostShare = 0.3;
+// Value of a place that the present demand does not use.
+constexpr double kUnusedPlaceValue = 0.5;
+
+// How many such tasks an empty machine takes.
 double TasksPerMachine(const InstanceOffering& offering, const ResourceRequest& request) {
-  double slots = 1e9;
-  if (request.cores > 0) slots = std::min(slots, std::floor(offering.cores / request.cores + 1e-9));
+  double slots = kUnboundedTasks;
+  if (request.cores > 0)
+    slots = std::min(slots, std::floor(offering.cores / request.cores + kRatioEpsilon));
   if (request.memory_gb > 0)
-    slots = std::min(slots, std::floor(offering.memory_gb / request.memory_gb + 1e-9));
-  if (request.gpus > 0) slots = std::min(slots, std::floor(offering.gpus / request.gpus + 1e-9));
+    slots = std::min(slots, std::floor(offering.memory_gb / request.memory_gb + kRatioEpsilon));
+  if (request.gpus > 0)
+    slots = std::min(slots, std::floor(offering.gpus / request.gpus + kRatioEpsilon));
   return slots;
 }
 
-// At most so much dearer does a pool count for the share of the machines it has.
-constexpr double kSpread = 0.3;
-
-int CheapestOffering(const std::vector<InstanceOffering>& offerings, const std::vector<int>& rented,
-                     const ResourceRequest& request, uint32_t left) {
+// The offering with the least price for each place, for `left` more tasks. None: none fits.
+std::optional<size_t> CheapestOffering(const std::vector<InstanceOffering>& offerings,
+                                       const std::vector<int>& added,
+                                       const ResourceRequest& request, uint32_t left) {
   int all = 1;
-  for (size_t i = 0; i < offerings.size(); ++i) all += offerings[i].existing_machines + rented[i];
-  int best = -1;
+  for (size_t i = 0; i < offerings.size(); ++i) all += offerings[i].existing_machines + added[i];
+  std::optional<size_t> best;
   double best_cost = 0;
   for (size_t i = 0; i < offerings.size(); ++i) {
     const InstanceOffering& offering = offerings[i];
@@ -32,62 +42,55 @@
       continue;
     const double slots = TasksPerMachine(offering, request);
     if (slots < 1) continue;
-    // Price of a task's place; places beyond those wanted are worth half.
     const double used = std::min<double>(slots, left);
-    double cost = offering.price / (used + 0.5 * (slots - used));
-    // Pools with many machines are a bit dearer, so that zones share the risk. By
-    // share, not by number: a large fleet is no reason to pay more.
-    cost *= 1 + kSpread * (offering.existing_machines + rented[i]) / all;
-    if (best < 0 || cost < best_cost) {
-      best = static_cast<int>(i);
+    double cost = offering.price / (used + kUnusedPlaceValue * (slots - used));
+    // By share, not by number: a large fleet is no reason to pay more.
+    cost *= 1 + kSpreadCostShare * (offering.existing_machines + added[i]) / all;
+    if (!best || cost < best_cost) {
+      best = i;
       best_cost = cost;
     }
   }
   return best;
 }
 
-void Take(MachineCapacity* capacity, const ResourceRequest& request) {
-  capacity->cores -= request.cores;
-  capacity->gpus -= request.gpus;
-  capacity->memory_gb -= request.memory_gb;
-}
-
 // The plan as it is being made.
 struct ScaleOutDraft {
   const std::vector<InstanceOffering>* offerings;
   std::vector<MachineCapacity> bins;
-  std::vector<int> added;  // by offer
+  std::vector<int> added;  // by offering
   int total = 0;
   int max_machines = 0;
 };
 
 void PackDemand(const ResourceRequest& request, uint32_t left, ScaleOutDraft* draft) {
-  // Bins are used from the first that fits; a full pass per want is enough.
+  // First fit.
   for (MachineCapacity& bin : draft->bins) {
     if (left == 0) break;
     if (!bin.usable || !SatisfiesConstraints(request, bin.type, bin.zone, bin.spot)) continue;
     while (left > 0 && Fits(request, bin)) {
-      Take(&bin, request);
+      bin -= request;
       --left;
     }
   }
   while (left > 0 && draft->total < draft->max_machines) {
-    const int at = CheapestOffering(*draft->offerings, draft->added, request, left);
-    if (at < 0) break;
-    const InstanceOffering& offering = (*draft->offerings)[static_cast<size_t>(at)];
-    ++draft->added[static_cast<size_t>(at)];
+    const std::optional<size_t> cheapest =
+        CheapestOffering(*draft->offerings, draft->added, request, left);
+    if (!cheapest) break;
+    const InstanceOffering& offering = (*draft->offerings)[*cheapest];
+    ++draft->added[*cheapest];
     ++draft->total;
     MachineCapacity capacity = EmptyMachine(offering);
     while (left > 0 && Fits(request, capacity)) {
-      Take(&capacity, request);
+      capacity -= request;
       --left;
     }
     draft->bins.push_back(capacity);
   }
 }
 
-// The zone in which most of the tasks find room; of several, one where more can be rented.
-uint32_t ZoneFor(const ResourceRequest& request, uint32_t count, const ScaleOutDraft& draft) {
+// The zone in which most of the tasks find room; of equal ones the first with an offering.
+uint32_t ChooseZone(const ResourceRequest& request, uint32_t count, const ScaleOutDraft& draft) {
   std::vector<uint32_t> zones;
   for (const InstanceOffering& offering : *draft.offerings) {
     if (!offering.unavailable &&
@@ -106,8 +109,9 @@
     for (const MachineCapacity& bin : draft.bins) {
       if (places >= count) break;
       if (!bin.usable || !SatisfiesConstraints(there, bin.type, bin.zone, bin.spot)) continue;
-      for (MachineCapacity left = bin; places < count && Fits(request, left); ++places)
-        Take(&left, request);
+      for (MachineCapacity left = bin; places < count && Fits(request, left); ++places) {
+        left -= request;
+      }
     }
     if (best != UINT32_MAX && places <= most) continue;
     best = zone;
@@ -118,35 +122,33 @@
 
 }  // namespace
 
-MachineCapacity EmptyMachine(const InstanceOffering& offer) {
+MachineCapacity EmptyMachine(const InstanceOffering& offering) {
   MachineCapacity capacity;
-  capacity.type = offer.type;
-  capacity.zone = offer.zone;
-  capacity.spot = offer.spot;
+  capacity.type = offering.type;
+  capacity.zone = offering.zone;
+  capacity.spot = offering.spot;
   capacity.usable = true;
-  capacity.cores = offer.cores;
-  capacity.gpus = offer.gpus;
-  capacity.memory_gb = offer.memory_gb;
+  capacity += offering;
   return capacity;
 }
 
 std::vector<ScaleOutDecision> PlanScaleOut(const std::vector<InstanceOffering>& offerings,
                                            std::vector<MachineCapacity> bins,
                                            const std::vector<ResourceDemand>& demands,
-                                           int most_machines) {
+                                           int max_machines) {
   ScaleOutDraft draft{&offerings, std::move(bins), std::vector<int>(offerings.size(), 0), 0,
-                      most_machines};
-  for (const ResourceDemand& want : demands) {
-    ResourceRequest request = want.request;
+                      max_machines};
+  for (const ResourceDemand& demand : demands) {
+    ResourceRequest request = demand.request;
     request.sibling_machines = nullptr;
-    if (want.single_zone) request.required_zone = ZoneFor(request, want.count, draft);
-    PackDemand(request, want.count, &draft);
+    if (demand.single_zone) request.required_zone = ChooseZone(request, demand.count, draft);
+    PackDemand(request, demand.count, &draft);
   }
-  std::vector<ScaleOutDecision> out;
+  std::vector<ScaleOutDecision> decisions;
   for (size_t i = 0; i < offerings.size(); ++i) {
-    if (draft.added[i] > 0) out.push_back({static_cast<uint32_t>(i), draft.added[i]});
+    if (draft.added[i] > 0) decisions.push_back({static_cast<uint32_t>(i), draft.added[i]});
   }
-  return out;
+  return decisions;
 }
 
 }  // namespace deckhall
--- a/src/sched/scale_out_plan.h
+++ b/src/sched/scale_out_plan.h
@@ -1,4 +1,4 @@
-// How many machines of which kind to rent. Pure.
+// Scale-out planning: how many machines of which offering cover the demand (bin packing). Pure.
 #pragma once
 
 #include <cstdint>
@@ -8,38 +8,38 @@
 
 namespace deckhall {
 
-struct InstanceOffering {
+// A machine type in a zone, ordinary or spot. The amounts of the base are those of one machine.
+struct InstanceOffering : Resources {
   uint32_t type = 0;
   uint32_t zone = 0;
   bool spot = false;
-  double cores = 0;
-  double gpus = 0;
-  double memory_gb = 0;
-  double price = 0;
+  double price = 0;  // of one machine for an hour
   double boot_s = 0;
-  bool unavailable = false;
-  int existing_machines = 0;  // machines of this pool, for spreading
+  bool unavailable = false;   // out of capacity, partitioned, or closed by a drain
+  int existing_machines = 0;  // of this pool, booting ones included
 };
 
-// A machine of that offer with nothing on it.
-MachineCapacity EmptyMachine(const InstanceOffering& offer);
+// The free capacity of a machine of that offering without tasks.
+MachineCapacity EmptyMachine(const InstanceOffering& offering);
 
+// Tasks that need room.
 struct ResourceDemand {
   ResourceRequest request;
   uint32_t count = 1;
-  bool single_zone = false;
+  bool single_zone = false;  // all of them in one zone
 };
 
+// Machines of one offering to request.
 struct ScaleOutDecision {
-  uint32_t offering = 0;
+  uint32_t offering = 0;  // index in the offerings
   int count = 0;
 };
 
-// Packs the wants into `bins` (machines that have room or are booting; changed
-// by the packing), then into machines to rent.
+// Packs the demands, in their order, into `bins` (machines with room, and booting ones), and the
+// rest into at most `max_machines` new machines.
 std::vector<ScaleOutDecision> PlanScaleOut(const std::vector<InstanceOffering>& offerings,
                                            std::vector<MachineCapacity> bins,
                                            const std::vector<ResourceDemand>& demands,
-                                           int most_machines);
+                                           int max_machines);
 
 }  // namespace deckhall
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -33,8 +33,8 @@
 }
 
 TEST(Capacity, PacksIntoWhatIsThereBeforeItRents) {
-  InstanceOffering ordinary{0, 0, false, 8, 0, 64, 1.0, 30, false, 0};
-  InstanceOffering spot{0, 0, true, 8, 0, 64, 0.4, 30, false, 0};
+  InstanceOffering ordinary{{8, 0, 64}, 0, 0, false, 1.0, 30, false, 0};
+  InstanceOffering spot{{8, 0, 64}, 0, 0, true, 0.4, 30, false, 0};
   ResourceRequest need;
   need.cores = 2;
   need.memory_gb = 4;
--- a/tests/gang_test.cc
+++ b/tests/gang_test.cc
@@ -439,8 +439,8 @@
 }
 
 TEST(Capacity, AGangThatMustBeInOneZoneIsRentedRoomInOne) {
-  InstanceOffering east{0, 0, false, 8, 0, 64, 1.0, 30, false, 0};
-  InstanceOffering west{0, 1, false, 8, 0, 64, 1.0, 30, false, 0};
+  InstanceOffering east{{8, 0, 64}, 0, 0, false, 1.0, 30, false, 0};
+  InstanceOffering west{{8, 0, 64}, 0, 1, false, 1.0, 30, false, 0};
   ResourceRequest need;
   need.cores = 2;
   need.memory_gb = 4;
