--- /dev/null
+++ b/src/fleet/attempt_reconciler.cc
@@ -0,0 +1,149 @@
+#include "fleet/attempt_reconciler.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <optional>
+#include <utility>
+#include <vector>
+
+#include "fleet/task_name.h"
+
+namespace deckhall {
+namespace {
+
+constexpr size_t kMaxCachedImages = 16;
+
+TaskAttempt* FindReportedAttempt(Machine& machine, const TaskStatus& status) {
+  for (TaskAttempt& attempt : machine.attempts) {
+    if (attempt.number == status.attempt && attempt.task_name == status.task_name) return &attempt;
+  }
+  return nullptr;
+}
+
+// Whether the agent has fetched the image of the task.
+bool HasFetchedImage(const TaskStatus& status) {
+  return status.state != TaskState::kFetching && status.exit_reason != ExitReason::kNoRoom &&
+         status.exit_reason != ExitReason::kInUse && status.exit_reason != ExitReason::kUnknown;
+}
+
+// Puts `image` last, as the latest one used; the first one is dropped when there are too many.
+void RememberImage(Machine& machine, uint32_t image) {
+  if (image == kNoIndex) return;
+  std::vector<uint32_t>& images = machine.cached_images;
+  auto entry = std::find(images.begin(), images.end(), image);
+  if (entry != images.end()) images.erase(entry);
+  images.push_back(image);
+  if (images.size() > kMaxCachedImages) images.erase(images.begin());
+}
+
+}  // namespace
+
+AttemptReconciler::AttemptReconciler(JobStore* job_store, MachineRegistry* machines,
+                                     AttemptTracker* attempts, ExitHandler* exits,
+                                     const Clock* clock)
+    : job_store_(job_store),
+      machines_(machines),
+      attempts_(attempts),
+      exits_(exits),
+      clock_(clock) {}
+
+void AttemptReconciler::Reconcile(MachineIndex machine_index, const Heartbeat& heartbeat) {
+  Machine& machine = (*machines_)[machine_index];
+  // Attempts adopted on the way are added behind those tracked so far.
+  const size_t tracked = machine.attempts.size();
+  std::vector<char> listed(tracked, 0);
+  for (const TaskStatus& status : heartbeat.tasks) {
+    TaskAttempt* attempt = FindReportedAttempt(machine, status);
+    if (attempt == nullptr) {
+      AdoptAttempt(machine_index, status);
+      continue;
+    }
+    const auto position = static_cast<size_t>(attempt - machine.attempts.data());
+    if (position < tracked) listed[position] = 1;
+    ApplyTaskStatus(machine_index, attempt, status);
+  }
+  for (size_t i = tracked; i-- > 0;) {
+    if (listed[i] == 0) ResolveUnlisted(machine_index, i, heartbeat);
+  }
+}
+
+void AttemptReconciler::ResolveUnlisted(MachineIndex machine_index, size_t position,
+                                        const Heartbeat& heartbeat) {
+  TaskAttempt& attempt = (*machines_)[machine_index].attempts[position];
+  if (attempt.reported) {
+    // Its exit was acknowledged, or the agent lost it.
+    if (!attempt.released) attempts_->Requeue(machine_index, attempt);
+    attempts_->Erase(machine_index, position);
+    return;
+  }
+  const bool may_still_launch =
+      attempt.launch_fencing_token != 0 && attempt.launch_fencing_token >= heartbeat.fencing_token;
+  if (may_still_launch) return;
+  // Never sent, or fenced off by the higher token the agent has seen.
+  attempt.launch_fencing_token = 0;
+  if (attempt.wanted) {
+    machines_->MarkChanged(machine_index);
+  } else {
+    attempts_->RequeueAndErase(machine_index, position);
+  }
+}
+
+void AttemptReconciler::AdoptAttempt(MachineIndex machine_index, const TaskStatus& status) {
+  TaskAttempt adopted = MakeAdoptedAttempt(machine_index, status);
+  if (!adopted.wanted && status.state != TaskState::kExited) {
+    spdlog::info("machine={} task={} attempt={}: unwanted attempt reported",
+                 (*machines_)[machine_index].name, status.task_name, status.attempt);
+  }
+  ApplyTaskStatus(machine_index, &attempts_->Add(machine_index, std::move(adopted)), status);
+}
+
+TaskAttempt AttemptReconciler::MakeAdoptedAttempt(MachineIndex machine_index,
+                                                  const TaskStatus& status) {
+  TaskAttempt attempt;
+  attempt.task_name = status.task_name;
+  attempt.number = status.attempt;
+  attempt.reported = true;
+  attempt.launched_at = clock_->Now();
+  attempt.wanted = false;
+  const std::optional<TaskName> name = ParseTaskName(status.task_name);
+  const JobIndex job_index = name ? job_store_->Find(name->job_id) : kNoIndex;
+  if (job_index == kNoIndex) return attempt;
+  Job& job = (*job_store_)[job_index];
+  if (!job.has_spec || name->task_index >= job.tasks.size()) return attempt;
+
+  attempt.job = job_index;
+  attempt.task_index = name->task_index;
+  const TaskPhase phase = job.tasks[name->task_index].phase;
+  const bool is_open = phase == TaskPhase::kUnreconciled || phase == TaskPhase::kWaiting;
+  attempt.wanted = is_open && job.lifecycle == JobLifecycle::kActive;
+  // An attempt that exited does not stand for its task. If it was successful, the task is done
+  // anyway. If not, a later attempt may run on a machine that is not reconciled yet.
+  if (is_open && status.state != TaskState::kExited) {
+    job_store_->MarkPlaced(job_index, name->task_index, machine_index, status.attempt);
+    job.starved_since = clock_->Now();
+  }
+  return attempt;
+}
+
+void AttemptReconciler::ApplyTaskStatus(MachineIndex machine_index, TaskAttempt* attempt,
+                                        const TaskStatus& status) {
+  Machine& machine = (*machines_)[machine_index];
+  attempt->reported = true;
+  if (attempt->released) return;
+  if (attempt->state != status.state) {
+    spdlog::debug("machine={} task={} state={}: task state changed", machine.name,
+                  attempt->task_name, static_cast<int>(status.state));
+    machine.capacity_stale = true;
+    attempts_->NotifyReplicaChanged(*attempt);
+  }
+  attempt->state = status.state;
+  if (attempt->job != kNoIndex && HasFetchedImage(status))
+    RememberImage(machine, (*job_store_)[attempt->job].image);
+  if (status.state == TaskState::kRunning) attempts_->SetRunning(attempt, true);
+  if (status.state != TaskState::kExited) return;
+  attempt->exit_reason = status.exit_reason;
+  exits_->HandleExit(machine_index, attempt);
+}
+
+}  // namespace deckhall
--- /dev/null
+++ b/src/fleet/attempt_reconciler.h
@@ -0,0 +1,43 @@
+// Reconciles the attempts tracked on a machine with those a heartbeat lists.
+//
+// A listed attempt that is tracked gets its observed state; one that is not tracked is adopted,
+// and stopped if its task needs no attempt there. A tracked attempt that is not listed was
+// acknowledged, lost, or has not been launched yet.
+//
+// Owned by Fleet. Called only for a heartbeat newer than all before, of a machine that is
+// reconciled.
+#pragma once
+
+#include "fleet/attempt_tracker.h"
+#include "fleet/exit_handler.h"
+#include "fleet/machine_registry.h"
+#include "net/clock.h"
+#include "state/job_store.h"
+#include "wire/types.h"
+
+namespace deckhall {
+
+class AttemptReconciler {
+ public:
+  AttemptReconciler(JobStore* job_store, MachineRegistry* machines, AttemptTracker* attempts,
+                    ExitHandler* exits, const Clock* clock);
+
+  void Reconcile(MachineIndex machine_index, const Heartbeat& heartbeat);
+
+ private:
+  // Takes over an attempt that an earlier leader placed.
+  void AdoptAttempt(MachineIndex machine_index, const TaskStatus& status);
+  // The attempt to track for `status`; wanted if its task may still need it.
+  TaskAttempt MakeAdoptedAttempt(MachineIndex machine_index, const TaskStatus& status);
+  void ApplyTaskStatus(MachineIndex machine_index, TaskAttempt* attempt, const TaskStatus& status);
+  // `position` is that of a tracked attempt the heartbeat does not list.
+  void ResolveUnlisted(MachineIndex machine_index, size_t position, const Heartbeat& heartbeat);
+
+  JobStore* job_store_;
+  MachineRegistry* machines_;
+  AttemptTracker* attempts_;
+  ExitHandler* exits_;
+  const Clock* clock_;
+};
+
+}  // namespace deckhall
--- /dev/null
+++ b/src/fleet/fencing.h
@@ -0,0 +1,38 @@
+// Fencing tokens and the order of an agent's messages (PROTOCOL, "Tokens" and "Delayed messages").
+//
+// An agent executes a command only if its token is not lower than the highest one it has seen.
+// Tokens, like attempt numbers, carry the term of their leader in their high bits, so that those
+// of a later term are always higher.
+#pragma once
+
+#include <compare>
+#include <cstdint>
+
+#include "model/machine.h"
+
+namespace deckhall {
+
+// Bits of a token or attempt number below the term.
+constexpr int kTermShift = 24;
+
+// The term in a fencing token or attempt number.
+inline uint64_t TermOf(uint64_t token) { return token >> kTermShift; }
+
+// The lowest fencing token of a term.
+inline uint64_t FirstTokenOf(uint64_t term) { return term << kTermShift; }
+
+// Orders the heartbeats and responses of one agent: the larger one is newer.
+struct HeartbeatVersion {
+  uint64_t agent_epoch = 0;
+  uint64_t sequence = 0;
+
+  auto operator<=>(const HeartbeatVersion&) const = default;
+};
+
+// Whether the agent has shown the token its next commands would carry. It then receives what is
+// sent to it, and executes nothing that was sent with a lower token.
+inline bool HasAcknowledgedToken(const Machine& machine) {
+  return machine.acknowledged_token >= machine.fencing_token;
+}
+
+}  // namespace deckhall
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -1,163 +1,159 @@
-// Machines and the attempts on them: what is wanted there, what was seen there,
-// and the commands that make up the difference.
+// The machines of the cluster and the task attempts on them, as the leader knows them.
+//
+// Fleet holds the desired and the observed state of every machine and turns the difference into
+// commands. It is a facade over parts with one job each: MachineRegistry (which machines there
+// are), AttemptTracker (desired state and resources of attempts), HeartbeatApplier with
+// AttemptReconciler and ExitHandler (observed state), and CommandBuilder.
+//
+// Guarantees: an attempt that was launched holds its resources, and stands for its task, until the
+// agent has shown that it is not there and cannot start any more, or until its lease has expired.
+//
+// Owned by Leader, for one term. Not thread-safe: used from the event loop only.
 #pragma once
 
-#include <deque>
-#include <functional>
+#include <cstdint>
 #include <string>
-#include <unordered_map>
 #include <vector>
 
+#include "fleet/attempt_reconciler.h"
+#include "fleet/attempt_tracker.h"
+#include "fleet/command_builder.h"
+#include "fleet/exit_handler.h"
+#include "fleet/fencing.h"
+#include "fleet/fleet_events.h"
+#include "fleet/fleet_options.h"
+#include "fleet/heartbeat_applier.h"
+#include "fleet/machine_registry.h"
 #include "model/model.h"
 #include "net/clock.h"
 #include "state/job_store.h"
 
 namespace deckhall {
 
-struct FleetOptions {
-  double lease_s = 30;
-  double former_leader_grace_s = 20;  // how long a former leader may go on answering reports
-  double clock_drift = 0.002;
-  double wall_clock_bound_s = 1;  // how far clocks may be from the true time of day
-};
-
-// Tokens and attempts carry the term in their high bits.
-constexpr int kTermShift = 24;
-inline uint64_t TermOf(uint64_t token) { return token >> kTermShift; }
-
-// Session and number of a machine's message; a larger one is newer.
-struct HeartbeatVersion {
-  uint64_t agent_epoch = 0;
-  uint64_t sequence = 0;
-};
-
-struct ResourceUsage {
-  double cores = 0;
-  double gpus = 0;
-};
-
-// Is told what may disturb users' work, as it happens.
-class DisruptionObserver {
- public:
-  virtual ~DisruptionObserver() = default;
-  // The condition of a replica may have changed.
-  virtual void ReplicaChanged(JobIndex job_index, uint32_t task_index) = 0;
-  // A task of an array that has not ended was lost or told to stop.
-  virtual void ArrayTaskStopped(JobIndex job_index) = 0;
-  // A job was accepted, or is over.
-  virtual void JobChanged(JobIndex job_index) = 0;
-};
-
-class Fleet {
+// The public members of FleetEvents are part of the interface: the leader sets the callbacks and
+// resets `placement_needed`.
+class Fleet : public FleetEvents {
  public:
+  // The job store and the clock must outlive this object.
   Fleet(JobStore* job_store, const Clock* clock, uint64_t term, FleetOptions options);
+  Fleet(const Fleet&) = delete;
+  Fleet& operator=(const Fleet&) = delete;
+
+  // Machines. See MachineRegistry.
 
-  MachineIndex Find(const std::string& name) const;
-  MachineIndex Add(const std::string& name);
+  // kNoIndex if no machine has this name.
+  MachineIndex Find(const std::string& name) const { return machines_.Find(name); }
+  MachineIndex Add(const std::string& name) { return machines_.Add(name); }
   Machine& operator[](MachineIndex machine_index) { return machines_[machine_index]; }
   const Machine& operator[](MachineIndex machine_index) const { return machines_[machine_index]; }
-  uint32_t size() const { return static_cast<uint32_t>(machines_.size()); }
-  // Those that are not gone, in the order they became known.
-  const std::vector<MachineIndex>& active() const { return active_; }
+  uint32_t size() const { return machines_.size(); }
+  // Machines that were not removed, in the order in which they were added.
+  const std::vector<MachineIndex>& active() const { return machines_.active(); }
+  // Loses all attempts on the machine and removes it; `reason` is for the log. Does nothing if it
+  // is removed already.
+  void RemoveMachine(MachineIndex machine_index, const char* reason);
+  // Takes the next changed machine off the queue; false if there is none.
+  bool PopChanged(MachineIndex* machine_index);
+  void MarkChanged(MachineIndex machine_index) { machines_.MarkChanged(machine_index); }
+  void InvalidateAllCapacity() { machines_.InvalidateAllCapacity(); }
+  // Every attempt that can be on the machine is known from now on.
+  void MarkReconciled(MachineIndex machine_index) { machines_.MarkReconciled(machine_index); }
+  // Active machines that may run attempts of an earlier leader and are not reconciled.
+  uint32_t CountUnreconciled() const { return machines_.CountUnreconciled(); }
+
+  // Attempts. See AttemptTracker.
+
+  // An attempt number that was never used before.
+  uint64_t NewAttemptNumber() { return attempts_.NewAttemptNumber(); }
+  // Places a task; the launch goes out with the next commands.
+  void PlaceTask(MachineIndex machine_index, JobIndex job_index, uint32_t task_index,
+                 uint64_t attempt_number, bool placed_by_aging = false) {
+    attempts_.PlaceTask(machine_index, job_index, task_index, attempt_number, placed_by_aging);
+  }
+  // Null if the attempt is not on the machine or was acknowledged.
+  TaskAttempt* FindAttempt(MachineIndex machine_index, JobIndex job_index, uint32_t task_index,
+                           uint64_t attempt_number) {
+    return attempts_.Find(machine_index, job_index, task_index, attempt_number);
+  }
+  // Sets the desired state of an attempt to stopped, with this time to checkpoint.
+  void RequestStop(MachineIndex machine_index, TaskAttempt* attempt, double grace_period_s) {
+    attempts_.RequestStop(machine_index, attempt, grace_period_s);
+  }
+  void RequestStopOfJob(JobIndex job_index) { attempts_.RequestStopOfJob(job_index); }
+  // Nothing runs on the machine any more: erases its attempts, and requeues the tasks of those
+  // that had not exited. `reason` is for the log.
+  void ReleaseAttempts(MachineIndex machine_index, const char* reason) {
+    attempts_.LoseAll(machine_index, reason);
+  }
+  // What the attempts of each team hold, by team index.
+  const std::vector<ResourceUsage>& team_usage() const { return attempts_.team_usage(); }
 
-  // Takes in a report or a command's answer. False when it is older than what is
-  // known already.
-  bool ApplyHeartbeat(MachineIndex machine_index, const Heartbeat& heartbeat);
-  // The same for an answer to a question asked when `asked` was the newest known:
-  // shows that the machine hears, and whether its worker began anew meanwhile.
+  // Heartbeats and probes. See HeartbeatApplier.
+
+  // False if the heartbeat is not newer than the last one applied.
+  bool ApplyHeartbeat(MachineIndex machine_index, const Heartbeat& heartbeat) {
+    return heartbeats_.ApplyHeartbeat(machine_index, heartbeat);
+  }
+  // Applies the response to a probe or direct command that was sent when `version_at_probe` was the
+  // newest version known.
   void ApplyProbeResponse(MachineIndex machine_index, const Heartbeat& heartbeat,
-                          HeartbeatVersion asked);
+                          HeartbeatVersion version_at_probe) {
+    heartbeats_.ApplyProbeResponse(machine_index, heartbeat, version_at_probe);
+  }
+  // The newest version known.
   HeartbeatVersion VersionOf(MachineIndex machine_index) const {
     return {machines_[machine_index].agent_epoch, machines_[machine_index].sequence};
   }
-  // A question stayed unanswered.
-  void RecordUnreachable(MachineIndex machine_index);
-  // Has shown that it heard the token it would get commands with.
+  // A command or probe got no usable response.
+  void RecordUnreachable(MachineIndex machine_index) {
+    heartbeats_.RecordUnreachable(machine_index);
+  }
+  // See HasAcknowledgedToken() in fleet/fencing.h.
   static bool HasAcknowledgedToken(const Machine& machine) {
-    return machine.acknowledged_token >= machine.fencing_token;
+    return deckhall::HasAcknowledgedToken(machine);
   }
-  // Has shown a token of this term: a former leader's answers don't reach it any more.
+  // Whether the agent has shown a token of this term. It then accepts no responses of a former
+  // leader.
   bool KnowsCurrentTerm(const Machine& machine) const {
     return TermOf(machine.acknowledged_token) == term_;
   }
-  // Puts a task there; the launch goes out with the next commands.
-  void PlaceTask(MachineIndex machine_index, JobIndex job, uint32_t task_index,
-                 uint64_t attempt_number, bool passed = false);
-  // A number never used for an attempt before.
-  uint64_t NewAttemptNumber() { return next_attempt_number_++; }
-  // The attempt, if it is there and was not cleared; null otherwise.
-  TaskAttempt* FindAttempt(MachineIndex machine_index, JobIndex job_index, uint32_t task_index,
-                           uint64_t attempt_number);
-  // Wants the slot gone.
-  void RequestStop(MachineIndex machine_index, TaskAttempt* attempt, double grace_s);
-  void RequestStopOfJob(JobIndex job);
-  // What to tell the machine now. Launches only if `launch`.
-  std::vector<Command> BuildCommands(MachineIndex machine_index, bool launch);
-  // The stops alone, told before or not: an earlier one may be lost on its way.
-  std::vector<Command> BuildStops(MachineIndex machine_index);
-  // Stops for what the report lists of jobs that are over, whoever started it.
-  std::vector<Command> BuildStopsOfEndedJobs(const Heartbeat& heartbeat) const;
-  // True when there is something to tell it.
-  bool HasCommands(MachineIndex machine_index, bool launch) const;
-  // An answer to a command is missing: what was sent may still come.
-  void FenceOffSentCommands(MachineIndex machine_index);
-  // Nothing is on it any more.
-  void ReleaseAttempts(MachineIndex machine_index, const char* why);
-  void RemoveMachine(MachineIndex machine_index, const char* why);
-  // Machines that an earlier leader's tasks may be on, not accounted for yet.
-  uint32_t CountUnreconciled() const;
-  void MarkReconciled(MachineIndex machine_index);
-  // The lease surely ran out: whatever was on it was killed by the worker.
-  bool IsLeaseExpired(const Machine& machine, double now, double term_began) const;
+  // Whether the agent has certainly killed everything on the machine. Both times are of the steady
+  // clock, in seconds.
+  bool IsLeaseExpired(const Machine& machine, double now, double term_began_at) const;
 
-  // What the tasks of each team take, by the team's index.
-  const std::vector<ResourceUsage>& team_usage() const { return team_usage_; }
-  // Machines about which something changed: each is handed out once.
-  bool PopChanged(MachineIndex* m);
-  void MarkChanged(MachineIndex machine_index);
-  // The picture of every machine's room is out of date.
-  void InvalidateAllCapacity();
+  // Commands. See CommandBuilder.
 
-  // A task ended; `slot.why` tells how. Called after the books were changed.
-  std::function<void(MachineIndex, const TaskAttempt&)> on_attempt_exited;
-  // A machine that an earlier leader used is accounted for.
-  std::function<void()> on_machine_reconciled = [] {};
-  // May be null.
-  DisruptionObserver* observer = nullptr;
-  // Something changed that the placer should look at.
-  bool placement_needed = false;
+  // The commands to send now; launches only if `may_launch`.
+  std::vector<Command> BuildCommands(MachineIndex machine_index, bool may_launch) {
+    return commands_.BuildCommands(machine_index, may_launch);
+  }
+  // All stops, whether they were sent before or not.
+  std::vector<Command> BuildStops(MachineIndex machine_index) {
+    return commands_.BuildStops(machine_index);
+  }
+  // Stops for the tasks in `heartbeat` whose jobs have ended.
+  std::vector<Command> BuildStopsOfEndedJobs(const Heartbeat& heartbeat) const {
+    return commands_.BuildStopsOfEndedJobs(heartbeat);
+  }
+  // Whether it is worth sending commands now.
+  bool HasCommands(MachineIndex machine_index, bool may_launch) const {
+    return commands_.HasCommands(machine_index, may_launch);
+  }
+  // A command got no response and may be executed late: a higher token fences it off.
+  void FenceOffSentCommands(MachineIndex machine_index) {
+    commands_.FenceOffSentCommands(machine_index);
+  }
 
  private:
-  TaskAttempt* FindReportedAttempt(Machine& machine, const TaskStatus& status);
-  void AdoptAttempt(MachineIndex machine_index, const TaskStatus& status);
-  void ApplyTaskStatus(MachineIndex machine_index, TaskAttempt* attempt, const TaskStatus& status);
-  void HandleExit(MachineIndex machine_index, TaskAttempt* attempt);
-  void RequeueTask(MachineIndex machine_index, const TaskAttempt& attempt);
-  void SetRunning(TaskAttempt* attempt, bool now_running);
-  bool MayAcknowledgeExit(const TaskAttempt& attempt) const;
-  // What was not seen of a job that is done is not to be launched again.
-  void RequestStopOfUnreported(JobIndex job);
-  TaskAttempt& AddAttempt(MachineIndex machine_index, TaskAttempt attempt);
-  // The slot takes no room any more.
-  void ReleaseResources(MachineIndex machine_index, TaskAttempt* attempt);
-  void EraseAttempt(MachineIndex machine_index, size_t at);
-  Command BuildStop(TaskAttempt* attempt) const;
-  void InvalidateMachine(MachineIndex machine_index);
-  // Tells the observer that the attempt's condition changed, or that it was ended early.
-  void NotifyReplicaChanged(const TaskAttempt& attempt);
-  void NotifyArrayTaskStopped(const TaskAttempt& attempt);
-  void HandleAgentRestart(MachineIndex machine_index, const Heartbeat& heartbeat);
-
-  JobStore* job_store_;
   const Clock* clock_;
   uint64_t term_;
   FleetOptions options_;
-  std::vector<Machine> machines_;
-  std::vector<MachineIndex> active_;
-  std::deque<MachineIndex> changed_machines_;
-  std::vector<ResourceUsage> team_usage_;
-  std::unordered_map<std::string, MachineIndex> index_;
-  uint64_t next_attempt_number_;
+  MachineRegistry machines_;
+  AttemptTracker attempts_;
+  ExitHandler exits_;
+  AttemptReconciler reconciler_;
+  HeartbeatApplier heartbeats_;
+  CommandBuilder commands_;
 };
 
 }  // namespace deckhall
--- /dev/null
+++ b/src/fleet/lease_expiry.cc
@@ -0,0 +1,33 @@
+#include "fleet/lease_expiry.h"
+
+#include <algorithm>
+
+namespace deckhall {
+namespace {
+
+// The time an agent may take to notice that its lease has expired.
+constexpr double kExpiryMarginSeconds = 0.5;
+
+}  // namespace
+
+bool IsLeaseExpired(const Machine& machine, const FleetOptions& options,
+                    const LeaseCheckTimes& times) {
+  const double lease_s = options.lease_s * (1 + options.clock_drift) + kExpiryMarginSeconds;
+  if (machine.reconciled)
+    return times.now > std::max(machine.lease_renewed_at, machine.last_heard_at) + lease_s;
+
+  // A former leader stated since when it did not answer heartbeats. Both its clock and ours may
+  // be off.
+  if (machine.unrenewed_since_wall >= 0 &&
+      times.wall > machine.unrenewed_since_wall + lease_s + 2 * options.wall_clock_bound_s) {
+    return true;
+  }
+
+  // Otherwise it may have answered heartbeats until its own lease had run out.
+  const double last_renewal_at =
+      std::max(machine.lease_renewed_at,
+               times.term_began_at + options.former_leader_grace_s * (1 + options.clock_drift));
+  return times.now > last_renewal_at + lease_s;
+}
+
+}  // namespace deckhall
--- /dev/null
+++ b/src/fleet/machine_registry.h
@@ -0,0 +1,63 @@
+// All machines known in this term, and which of them changed.
+//
+// Guarantees: an index is valid for the term, since entries are never erased; `active()` lists the
+// machines that were not removed; a changed machine is queued once until it is taken.
+//
+// Owned by Fleet. References to machines are valid until the next Add().
+#pragma once
+
+#include <cstdint>
+#include <deque>
+#include <optional>
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+#include "fleet/fleet_events.h"
+#include "model/machine.h"
+#include "net/clock.h"
+
+namespace deckhall {
+
+class MachineRegistry {
+ public:
+  MachineRegistry(const Clock* clock, uint64_t term, FleetEvents* events);
+
+  // The latest machine added under this name; kNoIndex if there is none.
+  MachineIndex Find(const std::string& name) const;
+  // Adds a machine. Its fencing token is the lowest of the term.
+  MachineIndex Add(const std::string& name);
+  Machine& operator[](MachineIndex machine_index) { return machines_[machine_index]; }
+  const Machine& operator[](MachineIndex machine_index) const { return machines_[machine_index]; }
+  uint32_t size() const { return static_cast<uint32_t>(machines_.size()); }
+  // Machines that were not removed, in the order in which they were added.
+  const std::vector<MachineIndex>& active() const { return active_; }
+
+  // Marks an active machine, which must hold no attempts, as removed.
+  void Remove(MachineIndex machine_index);
+
+  // Queues the machine for the next round of commands.
+  void MarkChanged(MachineIndex machine_index);
+  // Takes the machine that changed first off the queue; nothing if the queue is empty.
+  std::optional<MachineIndex> TakeChanged();
+  // The free capacity of the machine must be read again, and commands may be due.
+  void InvalidateMachine(MachineIndex machine_index);
+  // The free capacity of all active machines must be read again.
+  void InvalidateAllCapacity();
+
+  // Every attempt that can be on the machine is known from now on.
+  void MarkReconciled(MachineIndex machine_index);
+  // Active machines that may run attempts of an earlier leader and are not reconciled.
+  uint32_t CountUnreconciled() const;
+
+ private:
+  const Clock* clock_;
+  uint64_t term_;
+  FleetEvents* events_;
+  std::vector<Machine> machines_;
+  std::vector<MachineIndex> active_;
+  std::deque<MachineIndex> changed_;
+  std::unordered_map<std::string, MachineIndex> index_;
+};
+
+}  // namespace deckhall
