--- a/src/fleet/cache_hints.cc
+++ b/src/fleet/cache_hints.cc
@@ -3,122 +3,149 @@
 #include <algorithm>
 #include <utility>
 
-#include "wire/json.h"
-
 namespace deckhall {
 namespace {
 
-const char* const kNamesKey = "in";
+const char* const kImageNamesKey = "in";
 const char* const kMachinesKey = "ic";
-// The last ones used are the last to be dropped.
-constexpr size_t kMostImages = 8;
+// Stored for a machine. The images used last are the last ones it evicts.
+constexpr size_t kMaxStoredImages = 8;
+// What an image name takes in the record besides its characters, the end of the record included.
+constexpr size_t kImageNameOverheadBytes = 8;
+// What a machine record takes besides its entries.
+constexpr size_t kMachineRecordOverheadBytes = 16;
+
+// A machine's entry in its record: its name, then its images.
+std::string EncodeMachine(const Machine& machine) {
+  const std::vector<uint32_t>& images = machine.cached_images;
+  rapidjson::StringBuffer buffer;
+  JsonWriter writer(buffer);
+  writer.StartArray();
+  writer.String(machine.name);
+  for (size_t i = images.size() - std::min(kMaxStoredImages, images.size()); i < images.size(); ++i)
+    writer.Uint(images[i]);
+  writer.EndArray();
+  return {buffer.GetString(), buffer.GetSize()};
+}
 
 }  // namespace
 
 bool CacheHints::LoadRecord(RecordId record_id, const std::string& text) {
-  rapidjson::Document doc;
-  if (!ParseJson(text, &doc) || !doc.IsObject()) return false;
-  const JsonValue* names = JsonMember(doc, kNamesKey);
-  const JsonValue* machines = JsonMember(doc, kMachinesKey);
+  rapidjson::Document document;
+  if (!ParseJson(text, &document) || !document.IsObject()) return false;
+  const JsonValue* names = JsonMember(document, kImageNamesKey);
+  const JsonValue* machines = JsonMember(document, kMachinesKey);
   if (names != nullptr && names->IsArray()) {
-    loaded_records_.push_back(record_id);
-    for (const auto& name : names->GetArray()) {
-      loaded_names_.emplace_back(name.IsString() ? name.GetString() : "");
-    }
-    return true;
+    LoadImageNames(*names);
+  } else if (machines != nullptr && machines->IsArray()) {
+    LoadMachines(*machines);
+  } else {
+    return false;
   }
-  if (machines == nullptr || !machines->IsArray()) return false;
   loaded_records_.push_back(record_id);
-  for (const auto& entry : machines->GetArray()) {
+  return true;
+}
+
+void CacheHints::LoadImageNames(const JsonValue& names) {
+  for (const auto& name : names.GetArray()) {
+    // An empty name keeps the place, since machines refer to images by position.
+    loaded_image_names_.emplace_back(name.IsString() ? name.GetString() : "");
+  }
+}
+
+void CacheHints::LoadMachines(const JsonValue& machines) {
+  for (const auto& entry : machines.GetArray()) {
     if (!entry.IsArray() || entry.Empty() || !entry[0].IsString()) continue;
-    std::vector<uint32_t> images;
+    LoadedMachine machine;
+    machine.name = entry[0].GetString();
     for (rapidjson::SizeType i = 1; i < entry.Size(); ++i) {
-      if (entry[i].IsUint()) images.push_back(entry[i].GetUint());
+      if (entry[i].IsUint()) machine.images.push_back(entry[i].GetUint());
     }
-    loaded_.emplace_back(entry[0].GetString(), std::move(images));
+    loaded_machines_.push_back(std::move(machine));
   }
-  return true;
 }
 
 void CacheHints::FinishLoad() {
-  for (const auto& [name, images] : loaded_) {
-    const MachineIndex machine_index = fleet_->Find(name);
-    if (machine_index == kNoIndex) continue;
-    for (uint32_t i : images) {
-      if (i >= loaded_names_.size() || loaded_names_[i].empty()) continue;
-      (*fleet_)[machine_index].cached_images.push_back(job_store_->images.Add(loaded_names_[i]));
-    }
+  for (const LoadedMachine& loaded : loaded_machines_) ApplyToMachine(loaded);
+  loaded_machines_ = {};
+  loaded_image_names_ = {};
+  RemoveOversizedRecords();
+}
+
+void CacheHints::ApplyToMachine(const LoadedMachine& loaded) {
+  const MachineIndex machine_index = fleet_->Find(loaded.name);
+  if (machine_index == kNoIndex) return;
+  for (uint32_t image : loaded.images) {
+    if (image >= loaded_image_names_.size() || loaded_image_names_[image].empty()) continue;
+    (*fleet_)[machine_index].cached_images.push_back(
+        job_store_->images.Add(loaded_image_names_[image]));
   }
-  loaded_ = {};
-  loaded_names_ = {};
-  // What is read is written anew by Save(). Rows made under larger limits go at once:
-  // they may fit no page any more.
+}
+
+void CacheHints::RemoveOversizedRecords() {
+  // Records written under a larger limit may fit no page any more, so they can't wait for Save().
   std::erase_if(loaded_records_, [this](RecordId record_id) {
-    const bool large = record_store_->RecordBytes(record_id) > record_bytes_;
-    if (large) record_store_->Remove(record_id);
-    return large;
+    const bool oversized = record_store_->RecordBytes(record_id) > record_bytes_;
+    if (oversized) record_store_->Remove(record_id);
+    return oversized;
   });
 }
 
+void CacheHints::Save() {
+  // Records that were loaded are replaced, not updated: new ones reserve all the space they may
+  // need, while other records may have filled the pages of the loaded ones.
+  for (RecordId record_id : std::exchange(loaded_records_, {})) record_store_->Remove(record_id);
+  SaveImageNames();
+  std::string entries;
+  size_t saved = 0;
+  for (MachineIndex machine_index : fleet_->active()) {
+    const Machine& machine = (*fleet_)[machine_index];
+    if (machine.cached_images.empty() || machine.scaling_in) continue;
+    const std::string entry = EncodeMachine(machine);
+    if (entries.size() + entry.size() + kMachineRecordOverheadBytes > record_bytes_) {
+      SaveMachineRecord(saved++, entries);
+      entries.clear();
+    }
+    if (!entries.empty()) entries += ',';
+    entries += entry;
+  }
+  SaveMachineRecord(saved++, entries);
+  // Records that were needed before and are not now.
+  for (; saved < machine_records_.size(); ++saved) SaveMachineRecord(saved, "");
+}
+
 void CacheHints::SaveImageNames() {
   rapidjson::StringBuffer buffer;
   JsonWriter writer(buffer);
   writer.StartObject();
-  writer.Key(kNamesKey);
+  writer.Key(kImageNamesKey);
   writer.StartArray();
   for (uint32_t i = 0; i < job_store_->images.size(); ++i) {
-    if (buffer.GetSize() + job_store_->images[i].size() + 8 > record_bytes_) break;
-    writer.String(job_store_->images[i]);
+    const std::string& name = job_store_->images[i];
+    if (buffer.GetSize() + name.size() + kImageNameOverheadBytes > record_bytes_) break;
+    writer.String(name);
   }
   writer.EndArray();
   writer.EndObject();
   std::string text(buffer.GetString(), buffer.GetSize());
-  if (names_record_ == kNoRecord) {
-    names_record_ = record_store_->Add(std::move(text), record_bytes_, WritePriority::kBackground);
+  if (image_names_record_ == kNoRecord) {
+    image_names_record_ =
+        record_store_->Add(std::move(text), record_bytes_, WritePriority::kBackground);
   } else {
-    record_store_->Update(names_record_, std::move(text), record_bytes_,
+    record_store_->Update(image_names_record_, std::move(text), record_bytes_,
                           WritePriority::kBackground);
   }
 }
 
-void CacheHints::SaveRecord(size_t at, std::string text) {
-  text = std::string("{\"") + kMachinesKey + "\":[" + text + "]}";
-  if (at < records_.size()) {
-    record_store_->Update(records_[at], std::move(text), record_bytes_, WritePriority::kBackground);
+void CacheHints::SaveMachineRecord(size_t position, const std::string& entries) {
+  std::string text = std::string("{\"") + kMachinesKey + "\":[" + entries + "]}";
+  if (position < machine_records_.size()) {
+    record_store_->Update(machine_records_[position], std::move(text), record_bytes_,
+                          WritePriority::kBackground);
   } else {
-    records_.push_back(
+    machine_records_.push_back(
         record_store_->Add(std::move(text), record_bytes_, WritePriority::kBackground));
   }
 }
 
-void CacheHints::Save() {
-  // Written anew with all the room that they may need: where they were, other rows may
-  // have filled the page.
-  for (RecordId record_id : std::exchange(loaded_records_, {})) record_store_->Remove(record_id);
-  SaveImageNames();
-  std::string text;
-  size_t used = 0;
-  for (MachineIndex machine_index : fleet_->active()) {
-    const Machine& machine = (*fleet_)[machine_index];
-    if (machine.cached_images.empty() || machine.scaling_in) continue;
-    rapidjson::StringBuffer buffer;
-    JsonWriter writer(buffer);
-    writer.StartArray();
-    writer.String(machine.name);
-    const size_t from =
-        machine.cached_images.size() - std::min(kMostImages, machine.cached_images.size());
-    for (size_t i = from; i < machine.cached_images.size(); ++i)
-      writer.Uint(machine.cached_images[i]);
-    writer.EndArray();
-    if (text.size() + buffer.GetSize() + 16 > record_bytes_) {
-      SaveRecord(used++, std::move(text));
-      text.clear();
-    }
-    if (!text.empty()) text += ',';
-    text.append(buffer.GetString(), buffer.GetSize());
-  }
-  SaveRecord(used++, std::move(text));
-  for (; used < records_.size(); ++used) SaveRecord(used, "");
-}
-
 }  // namespace deckhall
--- a/src/fleet/cache_hints.h
+++ b/src/fleet/cache_hints.h
@@ -1,43 +1,67 @@
-// Which images the machines hold, as far as was seen, kept for the next leader: reports
-// name only what runs, so it would have to learn the caches anew, and start replicas
-// where their image must be fetched. A hint only; written now and then, never urgent.
+// Which images the machines have cached, stored as a hint for the next leader.
+//
+// Heartbeats name only what runs, so a new leader knows nothing about caches, and would start
+// replicas where their image must be fetched first. The records are hints: they may be out of date
+// or lost without harm, and are written in the background.
+//
+// The records: one with the names of all images, as {"in":[name,...]}, and some with machines, as
+// {"ic":[[machine, image index,...],...]}, whose indices count into the names.
+//
+// Owned by Leader, for one term. Order of calls: LoadRecord() for every record, FinishLoad() when
+// the machines are known, then Save() from time to time.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <string>
 #include <vector>
 
 #include "fleet/fleet.h"
+#include "model/record_id.h"
+#include "wire/json.h"
 
 namespace deckhall {
 
 class CacheHints {
  public:
-  // `row_bytes` is what one row may take.
-  CacheHints(RecordStore* record_store, JobStore* job_store, Fleet* fleet, size_t row_bytes)
+  // `record_bytes` is the size limit of a record. The other objects must outlive this one.
+  CacheHints(RecordStore* record_store, JobStore* job_store, Fleet* fleet, size_t record_bytes)
       : record_store_(record_store),
         job_store_(job_store),
         fleet_(fleet),
-        record_bytes_(row_bytes) {}
+        record_bytes_(record_bytes) {}
 
-  // Reads one row if it is one of ours.
+  // Reads a record of an earlier leader. False if it is not one of cache hints.
   bool LoadRecord(RecordId record_id, const std::string& text);
-  // After all rows.
+  // Applies what was loaded to the machines that are known.
   void FinishLoad();
+  // Writes the hints, in place of those that were loaded.
   void Save();
 
  private:
+  struct LoadedMachine {
+    std::string name;
+    std::vector<uint32_t> images;  // into loaded_image_names_
+  };
+
+  void LoadImageNames(const JsonValue& names);
+  void LoadMachines(const JsonValue& machines);
+  void ApplyToMachine(const LoadedMachine& loaded);
+  void RemoveOversizedRecords();
   void SaveImageNames();
-  void SaveRecord(size_t at, std::string text);
+  // Writes `entries`, a JSON list without its brackets, as the machine record with this position.
+  void SaveMachineRecord(size_t position, const std::string& entries);
 
   RecordStore* record_store_;
   JobStore* job_store_;
   Fleet* fleet_;
   size_t record_bytes_;
-  RecordId names_record_ = kNoRecord;
-  std::vector<RecordId> loaded_records_;  // they have only the room that they take
-  std::vector<RecordId> records_;
-  std::vector<std::string> loaded_names_;
-  std::vector<std::pair<std::string, std::vector<uint32_t>>> loaded_;
+  RecordId image_names_record_ = kNoRecord;
+  std::vector<RecordId> machine_records_;
+  // Of an earlier leader. They have no space to grow, so Save() replaces them.
+  std::vector<RecordId> loaded_records_;
+  std::vector<std::string> loaded_image_names_;
+  std::vector<LoadedMachine> loaded_machines_;
 };
 
 }  // namespace deckhall
--- a/src/fleet/worker_client.h
+++ b/src/fleet/worker_client.h
@@ -1,6 +1,10 @@
-// What the core asks of workers directly.
+// Direct calls to the agents on the machines: commands and probes.
+//
+// Implemented by HttpWorkerClient. Used by Leader, from the event loop only; callbacks run on the
+// event loop after the call has returned.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <string>
 #include <vector>
@@ -9,19 +13,25 @@
 
 namespace deckhall {
 
+// The outcome of a call.
 struct WorkerResponse {
-  int status = 0;     // 0: no usable answer
-  bool sent = false;  // false: nothing can have reached the worker
+  int status = 0;     // HTTP status 200 or 409; 0: no usable response
+  bool sent = false;  // whether the request may have reached the agent
   bool has_heartbeat = false;
-  Heartbeat heartbeat;
+  Heartbeat heartbeat;  // the state after the commands; valid if `has_heartbeat`
 };
 
 class WorkerClient {
  public:
   using Done = std::function<void(WorkerResponse)>;
   virtual ~WorkerClient() = default;
-  virtual void SendCommands(const std::string& endpoint, uint64_t token, uint64_t session,
-                            const std::vector<Command>& commands, double timeout_s, Done done) = 0;
+  // Sends commands to `endpoint` (host:port). The agent executes none of them, and responds with
+  // 409, if it has seen a higher fencing token or its epoch differs (PROTOCOL, "POST /do").
+  // `timeout_s` is in seconds; a request that has timed out may still be executed later.
+  virtual void SendCommands(const std::string& endpoint, uint64_t fencing_token,
+                            uint64_t agent_epoch, const std::vector<Command>& commands,
+                            double timeout_s, Done done) = 0;
+  // Asks for the current state (PROTOCOL, "GET /inspect").
   virtual void Probe(const std::string& endpoint, double timeout_s, Done done) = 0;
 };
 
