--- a/src/app/controller.cc
+++ b/src/app/controller.cc
@@ -45,13 +45,13 @@
       tuning_(tuning),
       election_(ports.key_value_store, ports.clock,
                 ElectionOptionsFrom(settings_, tuning_, instance)),
-      mesh_(ports.peer_transport, ports.clock, settings_.label, instance, settings_.siblings,
-            MaxForwardedRequests(settings_),
-            [this](Mesh::Body body, const Mesh::ResponseCallback& reply) {
-              HandlePeerRequest(std::move(body), reply);
-            }),
+      peer_network_(ports.peer_transport, ports.clock, settings_.label, instance,
+                    settings_.siblings, MaxForwardedRequests(settings_),
+                    [this](PeerMessage request, const PeerRpc::ResponseCallback& respond) {
+                      HandlePeerRequest(std::move(request), respond);
+                    }),
       health_(settings_.label),
-      forwarder_(&mesh_, ports.clock,
+      forwarder_(&peer_network_, ports.clock,
                  [this](const JobRequest& request, const JobResponseCallback& done) {
                    return ServeHere(request, done);
                  }),
@@ -59,8 +59,10 @@
       status_rate_limiter_(StatusRequestsPerSecond(settings_, tuning_)) {
   election_.on_elected = [this](uint64_t term) { StartLeading(term); };
   election_.on_leadership_lost = [this] { StopLeading(); };
-  election_.on_term_bound = [this](uint64_t bound) { mesh_.ConfirmTerm(bound); };
-  mesh_.on_higher_term = [this](uint64_t term) {
+  election_.on_term_bound = [this](uint64_t bound) {
+    peer_network_.membership().ConfirmTerm(bound);
+  };
+  peer_network_.membership().on_higher_term = [this](uint64_t term) {
     if (election_.HoldsKey() && term > election_.term()) {
       election_.LoseLeadership("a peer knows of a higher term");
     }
@@ -72,9 +74,10 @@
 void Controller::Tick() {
   const double now = ports_.clock->Now();
   election_.Tick();
-  mesh_.Tick();
+  peer_network_.Tick();
   const bool holding = leader_ && leader_->loaded();
-  mesh_.SetLeadership(holding && election_.IsLeaseValid(), holding, election_.term());
+  peer_network_.membership().SetLeadership(holding && election_.IsLeaseValid(), holding,
+                                           election_.term());
   policy_replicator_.Tick();
   if (leader_) {
     leader_->ApplyDisruptionPolicy(policy_replicator_.in_force(),
@@ -83,26 +86,29 @@
   }
   forwarder_.Tick();
   if (leader_ && leader_->UnreachableSeconds() > kUnreachableLeaderSeconds &&
-      mesh_.SecondsSincePeerHeard() < kUnreachableLeaderSeconds / 2) {
+      peer_network_.membership().SecondsSinceLastResponse() < kUnreachableLeaderSeconds / 2) {
     election_.Resign("most workers can't be reached from here", kResignPauseSeconds);
   }
   std::erase_if(retired_leaders_, [now](const RetiredLeader& r) {
     return now - r.retired_at > kRetiredLeaderSeconds;
   });
-  health_.Update(now, mesh_.Leader(), election_.IsLeaseValid(), mesh_.SecondsSincePeerHeard());
+  health_.Update(now, peer_network_.membership().Leader(), election_.IsLeaseValid(),
+                 peer_network_.membership().SecondsSinceLastResponse());
 }
 
 void Controller::StartLeading(uint64_t term) {
-  mesh_.ConfirmTerm(term);
+  peer_network_.membership().ConfirmTerm(term);
   LeaderPorts ports;
   ports.key_value_store = ports_.key_value_store;
   ports.cloud = ports_.cloud;
   ports.workers = ports_.workers;
   ports.clock = ports_.clock;
   ports.lease = this;
-  ports.no_later_term_since = [this](uint64_t t) { return mesh_.NoLaterTermSince(t); };
+  ports.no_later_term_since = [this](uint64_t t) {
+    return peer_network_.membership().NoLaterTermSince(t);
+  };
   ports.is_zone_suspected = [this](const std::string& zone) {
-    return zone != settings_.site && mesh_.IsSiteSuspected(zone);
+    return zone != settings_.site && peer_network_.membership().IsSiteSuspected(zone);
   };
   for (const Peer& peer : settings_.siblings) {
     if (peer.label == election_.former_leader_label()) ports.former_leader_zone = peer.site;
@@ -116,7 +122,7 @@
 }
 
 void Controller::StopLeading() {
-  mesh_.SetLeadership(false, false, 0);
+  peer_network_.membership().SetLeadership(false, false, 0);
   if (!leader_) return;
   leader_->Retire();
   retired_leaders_.push_back({ports_.clock->Now(), std::move(leader_)});
@@ -153,7 +159,7 @@
     done(response);
   };
   if (ServeHere(request, answered)) return;
-  const std::string leader = mesh_.Leader();
+  const std::string leader = peer_network_.membership().Leader();
   if (leader.empty() || leader == settings_.label) {
     answered(NoLeaderResponse());
     return;
@@ -169,27 +175,27 @@
     on_work();
     return;
   }
-  const std::string to = mesh_.Leader();
+  const std::string to = peer_network_.membership().Leader();
   if (to.empty() || to == settings_.label) {
     HeartbeatResponse response;
     // The way between controllers is shut, but the state service knows who leads:
     // the worker may reach it.
     const std::string& known = election_.leader_label();
-    if (known != settings_.label && mesh_.RefusesConnections(known)) {
+    if (known != settings_.label && peer_network_.membership().RefusesConnections(known)) {
       response.status = 421;
       response.redirect_to = known;
     }
     done(response);
     return;
   }
-  mesh_.Call(to, std::move(heartbeat), kHeartbeatForwardTimeoutSeconds,
-             [done = std::move(done)](Mesh::Body body) {
-               auto* reply = std::get_if<HeartbeatResponse>(&body);
-               done(reply == nullptr ? HeartbeatResponse() : *reply);
-             });
+  peer_network_.rpc().Call(to, std::move(heartbeat), kHeartbeatForwardTimeoutSeconds,
+                           [done = std::move(done)](PeerMessage body) {
+                             auto* reply = std::get_if<HeartbeatResponse>(&body);
+                             done(reply == nullptr ? HeartbeatResponse() : *reply);
+                           });
 }
 
-void Controller::HandlePeerRequest(Mesh::Body body, const Mesh::ResponseCallback& reply) {
+void Controller::HandlePeerRequest(PeerMessage body, const PeerRpc::ResponseCallback& reply) {
   if (auto* ask = std::get_if<JobRequest>(&body)) {
     if (!ServeHere(*ask, [reply](const JobResponse& response) { reply(response); }))
       reply(NoLeaderResponse());
@@ -201,7 +207,7 @@
     reply(leader_->HandleHeartbeat(*report));
     on_work();
   } else {
-    reply(std::monostate());
+    reply(NoResponse());
   }
 }
 
--- a/src/app/controller.h
+++ b/src/app/controller.h
@@ -17,7 +17,7 @@
 #include "drain/policy_replicator.h"
 #include "leader/election.h"
 #include "leader/leader.h"
-#include "mesh/mesh.h"
+#include "mesh/peer_network.h"
 
 namespace deckhall {
 
@@ -51,7 +51,7 @@
   void HandleJobRequest(JobRequest request, JobResponseCallback done);
   void HandleHeartbeat(Heartbeat heartbeat, HeartbeatResponseCallback done);
   bool IsHealthy() const { return health_.IsHealthy(ports_.clock->Now()); }
-  Mesh& mesh() { return mesh_; }
+  PeerNetwork& peer_network() { return peer_network_; }
   const Election& election() const { return election_; }
   // Null while another one leads.
   const Leader* leader() const { return leader_.get(); }
@@ -69,7 +69,7 @@
   bool AdmitStatusRequest(const std::string& job);
   // Serves the request if this controller leads.
   bool ServeHere(const JobRequest& request, const JobResponseCallback& done);
-  void HandlePeerRequest(Mesh::Body body, const Mesh::ResponseCallback& reply);
+  void HandlePeerRequest(PeerMessage request, const PeerRpc::ResponseCallback& respond);
 
   ControllerPorts ports_;
   Settings settings_;
@@ -81,7 +81,7 @@
     std::unique_ptr<Leader> leader;
   };
   std::vector<RetiredLeader> retired_leaders_;
-  Mesh mesh_;
+  PeerNetwork peer_network_;
   HealthCheck health_;
   RequestForwarder forwarder_;
   PolicyReplicator policy_replicator_;
--- a/src/app/process.cc
+++ b/src/app/process.cc
@@ -52,7 +52,7 @@
   controller_.on_work = [this] {
     if (!immediate_tick_.active()) immediate_tick_.Start(0);
   };
-  peer_connections_.Start(&controller_.mesh());
+  peer_connections_.Start(&controller_.peer_network());
   next_log_at_ = clock_.Now() + kLogIntervalSeconds;
   tick_timer_.Start(0, kTickSeconds);
   spdlog::info("{} up", settings.label);
--- a/src/app/request_forwarder.cc
+++ b/src/app/request_forwarder.cc
@@ -14,8 +14,9 @@
 
 JobResponse NoLeaderResponse() { return UnavailableResponse("no leader can be reached"); }
 
-RequestForwarder::RequestForwarder(Mesh* mesh, const Clock* clock, ServeHere serve_here)
-    : mesh_(mesh), clock_(clock), serve_here_(std::move(serve_here)) {}
+RequestForwarder::RequestForwarder(PeerNetwork* peer_network, const Clock* clock,
+                                   ServeHere serve_here)
+    : peer_network_(peer_network), clock_(clock), serve_here_(std::move(serve_here)) {}
 
 void RequestForwarder::Send(JobRequest request, double timeout_s, Done done) {
   Tick();
@@ -28,13 +29,15 @@
   PendingRequest& pending = pending_.at(id);
   pending.target = target;
   const double remaining = pending.deadline - clock_->Now();
-  mesh_->Call(target, pending.request, remaining, [this, id, target](const Mesh::Body& body) {
-    const auto it = pending_.find(id);
-    // What a former leader says no longer counts: the next one may have decided since.
-    if (it == pending_.end() || it->second.target != target) return;
-    const auto* response = std::get_if<JobResponse>(&body);
-    Complete(id, response == nullptr ? NoLeaderResponse() : *response);
-  });
+  peer_network_->rpc().Call(target, pending.request, remaining,
+                            [this, id, target](const PeerMessage& body) {
+                              const auto it = pending_.find(id);
+                              // What a former leader says no longer counts: the next one may have
+                              // decided since.
+                              if (it == pending_.end() || it->second.target != target) return;
+                              const auto* response = std::get_if<JobResponse>(&body);
+                              Complete(id, response == nullptr ? NoLeaderResponse() : *response);
+                            });
 }
 
 void RequestForwarder::Complete(uint64_t id, const JobResponse& response) {
@@ -65,7 +68,7 @@
 
 void RequestForwarder::Tick() {
   const double now = clock_->Now();
-  const std::string leader = mesh_->Leader();
+  const std::string leader = peer_network_->membership().Leader();
   if (leader != leader_) {
     leader_ = leader;
     leaderless_since_ = now;
--- a/src/app/request_forwarder.h
+++ b/src/app/request_forwarder.h
@@ -6,7 +6,7 @@
 #include <map>
 #include <string>
 
-#include "mesh/mesh.h"
+#include "mesh/peer_network.h"
 #include "net/clock.h"
 #include "wire/types.h"
 
@@ -21,7 +21,7 @@
   // Serves a request here; false when this controller does not lead.
   using ServeHere = std::function<bool(const JobRequest&, const Done&)>;
 
-  RequestForwarder(Mesh* mesh, const Clock* clock, ServeHere serve_here);
+  RequestForwarder(PeerNetwork* peer_network, const Clock* clock, ServeHere serve_here);
 
   // Calls `done` once: at the latest after `timeout_s`, or, if this controller leads by then,
   // when the leader here has decided.
@@ -42,7 +42,7 @@
   // Sends on what another controller than the present leader was asked.
   void Redirect(const std::string& leader);
 
-  Mesh* mesh_;
+  PeerNetwork* peer_network_;
   const Clock* clock_;
   ServeHere serve_here_;
   std::map<uint64_t, PendingRequest> pending_;
--- /dev/null
+++ b/src/mesh/frame_reader.cc
@@ -0,0 +1,45 @@
+#include "mesh/frame_reader.h"
+
+#include <spdlog/spdlog.h>
+
+#include <cstdint>
+#include <utility>
+
+namespace deckhall {
+namespace {
+
+constexpr size_t kLengthBytes = 4;
+constexpr size_t kBitsPerByte = 8;
+
+// Decodes the little-endian length at the beginning of `bytes`, which holds all of it.
+uint32_t DecodeLength(std::string_view bytes) {
+  uint32_t length = 0;
+  for (size_t i = 0; i < kLengthBytes; ++i) {
+    length |= static_cast<uint32_t>(static_cast<unsigned char>(bytes[i])) << (kBitsPerByte * i);
+  }
+  return length;
+}
+
+}  // namespace
+
+bool FrameReader::Read(std::string_view bytes, const FrameHandler& handle_frame) {
+  buffer_.append(bytes);
+  size_t position = 0;
+  while (buffer_.size() - position >= kLengthBytes) {
+    const std::string_view rest = std::string_view(buffer_).substr(position);
+    const uint32_t length = DecodeLength(rest);
+    if (length > kMaxFrame) return false;
+    if (rest.size() - kLengthBytes < length) break;
+    PeerFrame frame;
+    if (!DecodeFrame(rest.substr(kLengthBytes, length), &frame)) {
+      spdlog::warn("peer connection closed: malformed frame");
+      return false;
+    }
+    position += kLengthBytes + length;
+    handle_frame(std::move(frame));
+  }
+  buffer_.erase(0, position);
+  return true;
+}
+
+}  // namespace deckhall
--- a/src/mesh/term_freshness.h
+++ b/src/mesh/term_freshness.h
@@ -1,5 +1,8 @@
-// Since when surely no other controller has led a later term: each peer has said
-// so in answer to something sent at that time or later.
+// Since when certainly no other controller has led a later term: each peer confirmed that in
+// response to a ping sent at that time or later.
+//
+// Invariants: the confirmed time of a peer never decreases, so a delayed response can't make it
+// younger than it is. Owned by `PeerMembership`. Times are seconds of the steady clock.
 #pragma once
 
 #include <algorithm>
@@ -10,24 +13,25 @@
 
 class TermFreshness {
  public:
-  explicit TermFreshness(size_t peers) : confirmed_at_(peers, kNever) {}
+  explicit TermFreshness(size_t peer_count) : confirmed_at_(peer_count, kNever) {}
 
-  // The peer knew of no later term when it answered what was sent at `asked_at`.
-  // The word of a process that has not yet asked the state service since it was
-  // started counts for nothing: its predecessor may have led, and been forgotten.
-  void RecordPing(size_t peer, double asked_at, bool informed) {
-    if (informed) confirmed_at_[peer] = std::max(confirmed_at_[peer], asked_at);
+  // The peer knew of no later term when it responded to the ping that was sent at `sent_at`.
+  // `term_confirmed`: the peer's process has read the leader key since it started. One that has
+  // not is ignored: a former process of the same controller may have led a later term.
+  void RecordPing(size_t peer, double sent_at, bool term_confirmed) {
+    if (term_confirmed) confirmed_at_[peer] = std::max(confirmed_at_[peer], sent_at);
   }
+  // The earliest confirmation of all peers, at most `now`; `kNever` while one is missing.
   double Since(double now) const {
     double since = now;
-    for (double at : confirmed_at_) since = std::min(since, at);
+    for (const double at : confirmed_at_) since = std::min(since, at);
     return since;
   }
 
-  static constexpr double kNever = -1e9;
+  static constexpr double kNever = -1e9;  // long before any time of the steady clock
 
  private:
-  std::vector<double> confirmed_at_;
+  std::vector<double> confirmed_at_;  // by peer
 };
 
 }  // namespace deckhall
