--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -1,62 +1,184 @@
 #include "config/settings.h"
 
 #include <algorithm>
+#include <boost/outcome/try.hpp>
+#include <utility>
 
 #include "wire/json.h"
 
 namespace deckhall {
 namespace {
 
-std::string ReadEndpoint(const JsonValue& object, const char* name, Endpoint* out) {
+using Check = Result<void, SettingsError>;
+
+constexpr double kMaxNumber = 1e9;
+constexpr double kMinTransactionOperations = 1;
+constexpr double kMaxTransactionOperations = 10000;
+constexpr double kMinSockets = 50;
+constexpr double kMaxSockets = 1e6;
+
+// The same error, of a field within `section`.
+SettingsError WithinSection(const std::string& section, SettingsError error) {
+  error.field.insert(0, section);
+  return error;
+}
+
+// A number of the file, and where it goes.
+template <class Record>
+struct NumberField {
+  const char* name;
+  double Record::*member;
+};
+
+constexpr NumberField<Settings> kWorkerFields[] = {
+    {"report_s", &Settings::heartbeat_interval_s},
+    {"lease_s", &Settings::lease_s},
+    {"cancel_s", &Settings::cancel_s},
+    {"gang_wait_s", &Settings::gang_wait_s},
+    {"gang_peer_s", &Settings::gang_loss_detection_s}};
+constexpr NumberField<Settings> kCloudFields[] = {{"rps", &Settings::cloud_rps},
+                                                  {"list_lag_s", &Settings::cloud_lag_s}};
+constexpr NumberField<Settings> kQuotaFields[] = {{"cores", &Settings::quota_cores},
+                                                  {"mem_mb", &Settings::quota_memory_mb}};
+constexpr NumberField<Settings> kClusterFields[] = {
+    {"time_bound_ms", &Settings::wall_clock_bound_ms}};
+constexpr NumberField<StateLimits> kStateFields[] = {{"rps", &StateLimits::rps},
+                                                     {"write_rps", &StateLimits::write_rps},
+                                                     {"value_kb", &StateLimits::value_kb}};
+constexpr NumberField<Team> kTeamFields[] = {{"cpus", &Team::cores},
+                                             {"cpus_max", &Team::cores_max},
+                                             {"gpus", &Team::gpus},
+                                             {"gpus_max", &Team::gpus_max}};
+
+Result<Endpoint, SettingsError> ReadEndpoint(const JsonValue& object, const char* name) {
   std::string text;
-  if (!JsonString(object, name, &text)) return std::string(name) + ": missing";
-  if (!ParseEndpoint(text, out)) return std::string(name) + ": not an address: " + text;
-  return "";
+  if (!JsonString(object, name, &text)) return SettingsError{SettingsErrorKind::kMissing, name};
+  Endpoint endpoint;
+  if (!ParseEndpoint(text, &endpoint)) {
+    return SettingsError{SettingsErrorKind::kNotAddress, name, text};
+  }
+  return endpoint;
 }
 
-// A positive number that may be missing.
-std::string ReadPositive(const JsonValue* object, const char* name, double* out) {
-  if (object == nullptr || JsonMember(*object, name) == nullptr) return "";
-  double v = 0;
-  if (!JsonNumber(*object, name, &v) || v <= 0 || v > 1e9) {
-    return std::string(name) + ": not a positive number";
+// A positive number, or `otherwise` when the section or the number is missing.
+Result<double, SettingsError> ReadPositive(const JsonValue* section, const char* name,
+                                           double otherwise) {
+  if (section == nullptr || JsonMember(*section, name) == nullptr) return otherwise;
+  double number = 0;
+  if (!JsonNumber(*section, name, &number) || number <= 0 || number > kMaxNumber) {
+    return SettingsError{SettingsErrorKind::kNotPositiveNumber, name};
   }
-  *out = v;
-  return "";
+  return number;
 }
 
-std::string ReadTeam(const JsonValue& row, Team* team) {
-  if (!JsonString(row, "name", &team->name) || team->name.empty()) return "teams: name missing";
-  const std::pair<const char*, double*> amounts[] = {{"cpus", &team->cores},
-                                                     {"cpus_max", &team->cores_max},
-                                                     {"gpus", &team->gpus},
-                                                     {"gpus_max", &team->gpus_max}};
-  for (const auto& [name, to] : amounts) {
-    if (JsonMember(row, name) == nullptr) continue;
-    if (!JsonNumber(row, name, to) || *to < 0) return std::string("teams: ") + name + " invalid";
+// Reads the numbers that the section has; the others stay as they are.
+template <class Record, size_t N>
+Check ReadNumbers(const JsonValue* section, const NumberField<Record> (&fields)[N],
+                  Record* record) {
+  for (const NumberField<Record>& field : fields) {
+    BOOST_OUTCOME_TRY(number, ReadPositive(section, field.name, record->*(field.member)));
+    record->*(field.member) = number;
   }
-  return "";
+  return Success();
 }
 
-struct NumberField {
-  const JsonValue* in;
-  const char* name;
-  double* to;
-};
+Result<Peer, SettingsError> ReadSibling(const JsonValue& row, const std::string& own_label) {
+  Peer peer;
+  if (!JsonString(row, "label", &peer.label) || peer.label.empty()) {
+    return SettingsError{SettingsErrorKind::kMissingMember, "siblings", "label"};
+  }
+  if (peer.label == own_label) {
+    return SettingsError{SettingsErrorKind::kOwnLabel, "siblings", peer.label};
+  }
+  JsonString(row, "site", &peer.site);
+  auto endpoint = ReadEndpoint(row, "endpoint");
+  if (!endpoint.has_value()) return WithinSection("siblings: ", endpoint.error());
+  peer.at = std::move(endpoint.value());
+  return peer;
+}
 
-// Reads the limits that the object has; the others stay as they are.
-std::string ReadStateLimits(const JsonValue* object, StateLimits* limits) {
-  double ops = limits->txn_ops;
-  const NumberField fields[] = {{object, "rps", &limits->rps},
-                                {object, "write_rps", &limits->write_rps},
-                                {object, "value_kb", &limits->value_kb},
-                                {object, "txn_ops", &ops}};
-  for (const NumberField& field : fields) {
-    std::string bad = ReadPositive(field.in, field.name, field.to);
-    if (!bad.empty()) return bad;
+Check ReadController(const JsonValue& document, Settings* settings) {
+  if (!JsonString(document, "label", &settings->label) || settings->label.empty()) {
+    return SettingsError{SettingsErrorKind::kMissing, "label"};
   }
-  limits->txn_ops = static_cast<int>(std::clamp(ops, 1.0, 10000.0));
-  return "";
+  JsonString(document, "site", &settings->site);
+  BOOST_OUTCOME_TRY(serve_on, ReadEndpoint(document, "serve_on"));
+  settings->serve_on = std::move(serve_on);
+  BOOST_OUTCOME_TRY(mesh_addr, ReadEndpoint(document, "mesh_addr"));
+  settings->mesh_addr = std::move(mesh_addr);
+  return Success();
+}
+
+Check ReadSiblings(const JsonValue& document, Settings* settings) {
+  const JsonValue* siblings = JsonMember(document, "siblings");
+  if (siblings == nullptr) return Success();
+  if (!siblings->IsArray()) return SettingsError{SettingsErrorKind::kNotList, "siblings"};
+  for (const auto& row : siblings->GetArray()) {
+    BOOST_OUTCOME_TRY(peer, ReadSibling(row, settings->label));
+    settings->siblings.push_back(std::move(peer));
+  }
+  return Success();
+}
+
+// The services that the controllers use.
+Check ReadExternalServices(const JsonValue& document, Settings* settings) {
+  const JsonValue* external = JsonMember(document, "external");
+  if (external == nullptr) return SettingsError{SettingsErrorKind::kMissing, "external"};
+  auto cloud = ReadEndpoint(*external, "cloud");
+  if (!cloud.has_value()) return WithinSection("external: ", cloud.error());
+  settings->cloud = std::move(cloud.value());
+  auto state = ReadEndpoint(*external, "state");
+  if (!state.has_value()) return WithinSection("external: ", state.error());
+  settings->state = std::move(state.value());
+  return Success();
+}
+
+Check ReadZones(const JsonValue& cluster, Settings* settings) {
+  const JsonValue* zones = JsonMember(cluster, "zones");
+  if (zones == nullptr) return Success();
+  if (!zones->IsArray()) return SettingsError{SettingsErrorKind::kNotList, "zones"};
+  for (const auto& zone : zones->GetArray()) {
+    if (!zone.IsString()) return SettingsError{SettingsErrorKind::kNotNames, "zones"};
+    settings->zones.emplace_back(zone.GetString());
+  }
+  return Success();
+}
+
+Result<Team, SettingsError> ReadTeam(const JsonValue& row) {
+  Team team;
+  if (!JsonString(row, "name", &team.name) || team.name.empty()) {
+    return SettingsError{SettingsErrorKind::kMissingMember, "teams", "name"};
+  }
+  for (const NumberField<Team>& field : kTeamFields) {
+    if (JsonMember(row, field.name) == nullptr) continue;
+    double& amount = team.*(field.member);
+    if (!JsonNumber(row, field.name, &amount) || amount < 0) {
+      return SettingsError{SettingsErrorKind::kInvalidMember, "teams", field.name};
+    }
+  }
+  return team;
+}
+
+Check ReadTeams(const JsonValue& cluster, Settings* settings) {
+  const JsonValue* teams = JsonMember(cluster, "teams");
+  if (teams == nullptr) return Success();
+  if (!teams->IsArray()) return SettingsError{SettingsErrorKind::kNotList, "teams"};
+  for (const auto& row : teams->GetArray()) {
+    BOOST_OUTCOME_TRY(team, ReadTeam(row));
+    settings->teams.push_back(std::move(team));
+  }
+  return Success();
+}
+
+// The limits that the section has; the others are as in `otherwise`.
+Result<StateLimits, SettingsError> ReadStateLimits(const JsonValue* section,
+                                                   const StateLimits& otherwise) {
+  StateLimits limits = otherwise;
+  BOOST_OUTCOME_TRYV(ReadNumbers(section, kStateFields, &limits));
+  BOOST_OUTCOME_TRY(operations, ReadPositive(section, "txn_ops", limits.txn_ops));
+  limits.txn_ops = static_cast<int>(
+      std::clamp(operations, kMinTransactionOperations, kMaxTransactionOperations));
+  return limits;
 }
 
 StateLimits SmallerOf(const StateLimits& a, const StateLimits& b) {
@@ -69,90 +191,85 @@
 }
 
 // The limits in force, and the announced ones that come without further notice.
-std::string ReadStateSection(const JsonValue* state, Settings* settings) {
-  std::string bad = ReadStateLimits(state, &settings->current_state_limits);
-  if (!bad.empty()) return "state." + bad;
-  settings->effective_state_limits = settings->current_state_limits;
-  const JsonValue* next = state == nullptr ? nullptr : JsonMember(*state, "next");
-  if (next == nullptr) return "";
-  if (!next->IsObject()) return "state.next: not an object";
-  StateLimits announced = settings->current_state_limits;
-  bad = ReadStateLimits(next, &announced);
-  if (!bad.empty()) return "state.next." + bad;
-  settings->effective_state_limits = SmallerOf(settings->current_state_limits, announced);
-  return "";
+Check ReadStateSection(const JsonValue* section, Settings* settings) {
+  const auto current = ReadStateLimits(section, settings->current_state_limits);
+  if (!current.has_value()) return WithinSection("state.", current.error());
+  settings->current_state_limits = current.value();
+  settings->effective_state_limits = current.value();
+  const JsonValue* next = section == nullptr ? nullptr : JsonMember(*section, "next");
+  if (next == nullptr) return Success();
+  if (!next->IsObject()) return SettingsError{SettingsErrorKind::kNotObject, "state.next"};
+  const auto announced = ReadStateLimits(next, current.value());
+  if (!announced.has_value()) return WithinSection("state.next.", announced.error());
+  settings->effective_state_limits = SmallerOf(current.value(), announced.value());
+  return Success();
 }
 
-}  // namespace
+Check ReadQuota(const JsonValue* section, Settings* settings) {
+  BOOST_OUTCOME_TRY(sockets, ReadPositive(section, "max_sockets", settings->max_sockets));
+  settings->max_sockets = static_cast<int>(std::clamp(sockets, kMinSockets, kMaxSockets));
+  return ReadNumbers(section, kQuotaFields, settings);
+}
 
-std::string ReadSettings(const std::string& text, Settings* settings) {
-  rapidjson::Document doc;
-  if (!ParseJson(text, &doc) || !doc.IsObject()) return "not a JSON object";
-  if (!JsonString(doc, "label", &settings->label) || settings->label.empty())
-    return "label: missing";
-  JsonString(doc, "site", &settings->site);
-  std::string bad = ReadEndpoint(doc, "serve_on", &settings->serve_on);
-  if (bad.empty()) bad = ReadEndpoint(doc, "mesh_addr", &settings->mesh_addr);
-  if (!bad.empty()) return bad;
-  if (const JsonValue* siblings = JsonMember(doc, "siblings")) {
-    if (!siblings->IsArray()) return "siblings: not a list";
-    for (const auto& row : siblings->GetArray()) {
-      Peer peer;
-      if (!JsonString(row, "label", &peer.label) || peer.label.empty())
-        return "siblings: label missing";
-      if (peer.label == settings->label) return "siblings: own label " + peer.label;
-      JsonString(row, "site", &peer.site);
-      bad = ReadEndpoint(row, "endpoint", &peer.at);
-      if (!bad.empty()) return "siblings: " + bad;
-      settings->siblings.push_back(std::move(peer));
-    }
-  }
-  const JsonValue* external = JsonMember(doc, "external");
-  if (external == nullptr) return "external: missing";
-  bad = ReadEndpoint(*external, "cloud", &settings->cloud);
-  if (bad.empty()) bad = ReadEndpoint(*external, "state", &settings->state);
-  if (!bad.empty()) return "external: " + bad;
-  const JsonValue* cluster = JsonMember(doc, "cluster");
-  if (cluster == nullptr || !cluster->IsObject()) return "cluster: missing";
-  if (const JsonValue* zones = JsonMember(*cluster, "zones")) {
-    if (!zones->IsArray()) return "zones: not a list";
-    for (const auto& z : zones->GetArray()) {
-      if (!z.IsString()) return "zones: not names";
-      settings->zones.emplace_back(z.GetString());
-    }
+Check ReadCluster(const JsonValue& document, Settings* settings) {
+  const JsonValue* cluster = JsonMember(document, "cluster");
+  if (cluster == nullptr || !cluster->IsObject()) {
+    return SettingsError{SettingsErrorKind::kMissing, "cluster"};
   }
-  if (const JsonValue* teams = JsonMember(*cluster, "teams")) {
-    if (!teams->IsArray()) return "teams: not a list";
-    for (const auto& row : teams->GetArray()) {
-      Team team;
-      bad = ReadTeam(row, &team);
-      if (!bad.empty()) return bad;
-      settings->teams.push_back(std::move(team));
-    }
+  BOOST_OUTCOME_TRYV(ReadZones(*cluster, settings));
+  BOOST_OUTCOME_TRYV(ReadTeams(*cluster, settings));
+  BOOST_OUTCOME_TRYV(ReadStateSection(JsonMember(*cluster, "state"), settings));
+  BOOST_OUTCOME_TRYV(ReadNumbers(JsonMember(*cluster, "workers"), kWorkerFields, settings));
+  BOOST_OUTCOME_TRYV(ReadNumbers(JsonMember(*cluster, "cloud"), kCloudFields, settings));
+  BOOST_OUTCOME_TRYV(ReadQuota(JsonMember(*cluster, "quota"), settings));
+  return ReadNumbers(cluster, kClusterFields, settings);
+}
+
+}  // namespace
+
+std::string DescribeError(const SettingsError& error) {
+  switch (error.kind) {
+    case SettingsErrorKind::kNotJsonObject:
+      return "not a JSON object";
+    case SettingsErrorKind::kMissing:
+      return error.field + ": missing";
+    case SettingsErrorKind::kMissingMember:
+      return error.field + ": " + error.detail + " missing";
+    case SettingsErrorKind::kInvalidMember:
+      return error.field + ": " + error.detail + " invalid";
+    case SettingsErrorKind::kNotAddress:
+      return error.field + ": not an address: " + error.detail;
+    case SettingsErrorKind::kNotPositiveNumber:
+      return error.field + ": not a positive number";
+    case SettingsErrorKind::kNotList:
+      return error.field + ": not a list";
+    case SettingsErrorKind::kNotObject:
+      return error.field + ": not an object";
+    case SettingsErrorKind::kNotNames:
+      return error.field + ": not names";
+    case SettingsErrorKind::kOwnLabel:
+      return error.field + ": own label " + error.detail;
   }
-  const JsonValue* workers = JsonMember(*cluster, "workers");
-  const JsonValue* state = JsonMember(*cluster, "state");
-  const JsonValue* cloud = JsonMember(*cluster, "cloud");
-  const JsonValue* quota = JsonMember(*cluster, "quota");
-  bad = ReadStateSection(state, settings);
-  if (!bad.empty()) return bad;
-  double sockets = settings->max_sockets;
-  const NumberField numbers[] = {{workers, "report_s", &settings->heartbeat_interval_s},
-                                 {workers, "lease_s", &settings->lease_s},
-                                 {workers, "cancel_s", &settings->cancel_s},
-                                 {workers, "gang_wait_s", &settings->gang_wait_s},
-                                 {workers, "gang_peer_s", &settings->gang_loss_detection_s},
-                                 {cloud, "rps", &settings->cloud_rps},
-                                 {cloud, "list_lag_s", &settings->cloud_lag_s},
-                                 {quota, "max_sockets", &sockets},
-                                 {quota, "cores", &settings->quota_cores},
-                                 {quota, "mem_mb", &settings->quota_memory_mb},
-                                 {cluster, "time_bound_ms", &settings->wall_clock_bound_ms}};
-  for (const NumberField& n : numbers) {
-    bad = ReadPositive(n.in, n.name, n.to);
-    if (!bad.empty()) return bad;
+  return "";
+}
+
+Result<Settings, SettingsError> ReadSettings(const std::string& text) {
+  rapidjson::Document document;
+  if (!ParseJson(text, &document) || !document.IsObject()) {
+    return SettingsError{SettingsErrorKind::kNotJsonObject};
   }
-  settings->max_sockets = static_cast<int>(std::clamp(sockets, 50.0, 1e6));
+  Settings settings;
+  BOOST_OUTCOME_TRYV(ReadController(document, &settings));
+  BOOST_OUTCOME_TRYV(ReadSiblings(document, &settings));
+  BOOST_OUTCOME_TRYV(ReadExternalServices(document, &settings));
+  BOOST_OUTCOME_TRYV(ReadCluster(document, &settings));
+  return settings;
+}
+
+std::string ReadSettings(const std::string& text, Settings* settings) {
+  auto result = ReadSettings(text);
+  if (!result.has_value()) return DescribeError(result.error());
+  *settings = std::move(result.value());
   return "";
 }
 
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -1,10 +1,15 @@
-// What the platform and the operators hand over.
+// The platform's settings: a JSON file that the platform hands to each controller.
+//
+// Settings that were read are complete: the names and addresses are there, and all amounts are
+// positive. Unknown fields are ignored. Read once, at the start, and constant from then on. The
+// names of the file appear only in settings.cc.
 #pragma once
 
 #include <algorithm>
 #include <string>
 #include <vector>
 
+#include "common/result.h"
 #include "mesh/mesh.h"
 #include "model/model.h"
 #include "net/tcp.h"
@@ -13,36 +18,36 @@
 
 // What the state service allows in a value, a transaction and a second.
 struct StateLimits {
-  double rps = 50;
-  double write_rps = 20;
-  double value_kb = 8;
-  int txn_ops = 12;
+  double rps = 50;        // requests a second
+  double write_rps = 20;  // puts and deletes a second
+  double value_kb = 8;    // KiB of a value
+  int txn_ops = 12;       // puts and deletes of a transaction
 };
 
 struct Settings {
-  std::string label;
-  std::string site;
-  Endpoint serve_on;
-  Endpoint mesh_addr;
-  std::vector<Peer> siblings;
+  std::string label;           // this controller's name among its peers
+  std::string site;            // where it runs; may be empty
+  Endpoint serve_on;           // for users and workers
+  Endpoint mesh_addr;          // for the other controllers
+  std::vector<Peer> siblings;  // the other controllers
   Endpoint cloud;
   Endpoint state;
   std::vector<std::string> zones;
   std::vector<Team> teams;
   double heartbeat_interval_s = 3;
-  double lease_s = 30;
-  double cancel_s = 55;
-  double gang_wait_s = 35;  // a gathering task waits so long for the rest of its gang
-  double gang_loss_detection_s =
-      8;  // the tasks of a running gang notice a lost one within this time
+  double lease_s = 30;      // of a worker: without an answer for so long it kills its tasks
+  double cancel_s = 55;     // within which the tasks of a cancelled job are to end
+  double gang_wait_s = 35;  // a waiting task waits so long for the rest of its gang
+  // The tasks of a running gang notice a lost one within this time.
+  double gang_loss_detection_s = 8;
   StateLimits current_state_limits;    // in force when the process starts
   StateLimits effective_state_limits;  // the smaller of those and the announced ones (`state.next`)
-  double cloud_rps = 4;
-  double cloud_lag_s = 8;
-  int max_sockets = 1000;
-  double quota_cores = 1;        // of the processor, for this process
-  double quota_memory_mb = 128;  // for this process
-  double wall_clock_bound_ms = 1000;
+  double cloud_rps = 4;                // requests a second
+  double cloud_lag_s = 8;              // of the list of machines; sometimes twice as much
+  int max_sockets = 1000;              // open at the same time, in this process
+  double quota_cores = 1;              // of the processor, for this process
+  double quota_memory_mb = 128;        // for this process
+  double wall_clock_bound_ms = 1000;   // clocks of two hosts differ by less
 };
 
 // Sockets are shared out: most for whoever connects to us, some kept open to
@@ -78,7 +83,32 @@
   return static_cast<size_t>(ServedConnections(settings)) * 2;
 }
 
-// Returns the reason why the text is no settings file, or an empty string.
-std::string ReadSettings(const std::string& text, Settings* out);
+enum class SettingsErrorKind {
+  kNotJsonObject,  // the whole text
+  kMissing,        // the field
+  kMissingMember,  // `detail` of one of the field's rows
+  kInvalidMember,  // `detail` of one of the field's rows
+  kNotAddress,     // `detail` is what the field has
+  kNotPositiveNumber,
+  kNotList,
+  kNotObject,
+  kNotNames,  // a list of other things than strings
+  kOwnLabel,  // `detail`: a sibling has this controller's label
+};
+
+// Why a text is no settings file.
+struct SettingsError {
+  SettingsErrorKind kind;
+  std::string field = {};  // the path to it, as operators read it
+  std::string detail = {};
+};
+
+// The error in one line, for operators.
+std::string DescribeError(const SettingsError& error);
+
+// Reads and checks the text of the file. What it leaves out keeps its default.
+Result<Settings, SettingsError> ReadSettings(const std::string& text);
+// The old form: the error in words, or an empty string and the settings.
+std::string ReadSettings(const std::string& text, Settings* settings);
 
 }  // namespace deckhall
--- a/src/config/sexpression.cc
+++ b/src/config/sexpression.cc
@@ -5,16 +5,19 @@
 
 namespace deckhall {
 
-std::optional<SExpression> SExpression::Parse(const std::string& text, std::string* error) {
+std::string DescribeError(const SExpressionError& error) {
+  return "not an S-expression (at byte " + std::to_string(error.offset) +
+         "); numbers go in quotes, as in (lease-ms \"2500\")";
+}
+
+Result<SExpression, SExpressionError> SExpression::Parse(const std::string& text) {
   gcry_check_version(nullptr);
-  gcry_sexp_t raw = nullptr;
-  size_t offset = 0;
-  if (gcry_sexp_sscan(&raw, &offset, text.data(), text.size()) != 0) {
-    *error = "not an S-expression (at byte " + std::to_string(offset) +
-             "); numbers go in quotes, as in (lease-ms \"2500\")";
-    return std::nullopt;
+  gcry_sexp_t list = nullptr;
+  size_t error_offset = 0;
+  if (gcry_sexp_sscan(&list, &error_offset, text.data(), text.size()) != 0) {
+    return SExpressionError{error_offset};
   }
-  return SExpression(raw);
+  return SExpression(list);
 }
 
 std::string SExpression::Atom(int at) const {
--- a/src/config/sexpression.h
+++ b/src/config/sexpression.h
@@ -1,5 +1,7 @@
 // S-expressions of the operators' files, read by libgcrypt. Numbers go in quotes there: a
 // token that begins with a digit is read as a length.
+//
+// An SExpression owns its list, and what it returns are copies: no view into the text is kept.
 #pragma once
 
 #include <gcrypt.h>
@@ -8,14 +10,25 @@
 #include <optional>
 #include <string>
 
+#include "common/result.h"
+
 namespace deckhall {
 
+// A text that is no S-expression.
+struct SExpressionError {
+  size_t offset = 0;  // bytes before the place where it stops being one
+};
+
+// The error in one line, for operators.
+std::string DescribeError(const SExpressionError& error);
+
 // A list: its elements are atoms or lists.
 class SExpression {
  public:
-  // Empty when the text is no S-expression; `error` then says where it stops being one.
-  static std::optional<SExpression> Parse(const std::string& text, std::string* error);
+  // Parses one list. Anything after it is an error.
+  static Result<SExpression, SExpressionError> Parse(const std::string& text);
 
+  // The number of elements, the list's name included.
   int size() const { return gcry_sexp_length(list_.get()); }
   // The atom at that place; empty when there is none, or a list.
   std::string Atom(int at) const;
--- a/src/config/tuning.cc
+++ b/src/config/tuning.cc
@@ -1,33 +1,61 @@
 #include "config/tuning.h"
 
+#include <boost/outcome/try.hpp>
 #include <optional>
 
-#include "config/sexpression.h"
-
 namespace deckhall {
 namespace {
 
-std::string SetField(const std::string& section, const SExpression& entry, Tuning* out) {
-  const std::string name = entry.Name();
+const TuningField* FindField(const std::string& section, const std::string& name) {
   for (const TuningField& field : TuningFields()) {
-    if (section != field.section || name != field.name) continue;
-    const std::optional<double> value = ParseNumber(entry.Atom(1));
-    if (!value || *value < field.least || *value > field.most) {
-      std::string reason = section;
-      reason.append(" ").append(name).append(": not a number from ");
-      reason.append(std::to_string(field.least)).append(" to ").append(std::to_string(field.most));
-      return reason;
-    }
-    out->*(field.member) = *value;
-    return "";
+    if (section == field.section && name == field.name) return &field;
   }
-  return "";  // unknown: ignored, as in the platform's file
+  return nullptr;
+}
+
+Result<void, TuningError> ReadEntry(const std::string& section, const SExpression& entry,
+                                    Tuning* tuning) {
+  const TuningField* field = FindField(section, entry.Name());
+  if (field == nullptr) return Success();  // ignored, as in the platform's file
+  const std::optional<double> value = ParseNumber(entry.Atom(1));
+  if (!value || *value < field->least || *value > field->most) {
+    return TuningError{.kind = TuningErrorKind::kOutOfRange, .field = field};
+  }
+  tuning->*(field->member) = *value;
+  return Success();
+}
+
+Result<void, TuningError> ReadSection(const SExpression& section, Tuning* tuning) {
+  const std::string name = section.Name();
+  for (int i = 1; i < section.size(); ++i) {
+    const std::optional<SExpression> entry = section.List(i);
+    if (!entry) return TuningError{.kind = TuningErrorKind::kEntryNotList, .section = name};
+    BOOST_OUTCOME_TRYV(ReadEntry(name, *entry, tuning));
+  }
+  return Success();
+}
+
+Result<void, TuningError> CheckConsistency(const Tuning& tuning) {
+  if (tuning.keep_alive_ms * 2 > tuning.lease_ms) {
+    return TuningError{.kind = TuningErrorKind::kRenewalTooSlow};
+  }
+  if (tuning.late_boot > tuning.give_up_boot) {
+    return TuningError{.kind = TuningErrorKind::kLateBootAfterGivingUp};
+  }
+  return Success();
+}
+
+std::string DescribeRange(const TuningField& field) {
+  std::string text = field.section;
+  text.append(" ").append(field.name).append(": not a number from ");
+  text.append(std::to_string(field.least)).append(" to ").append(std::to_string(field.most));
+  return text;
 }
 
 }  // namespace
 
 const std::vector<TuningField>& TuningFields() {
-  static const std::vector<TuningField> fields = {
+  static const std::vector<TuningField> kFields = {
       {"leader", "lease-ms", &Tuning::lease_ms, 500, 60000, "leader's lease in the state service"},
       {"leader", "renew-ms", &Tuning::keep_alive_ms, 50, 30000, "time between its renewals"},
       {"rank", "refresh-s", &Tuning::refresh_s, 0.5, 60, "ranks are refreshed at least so often"},
@@ -98,28 +126,43 @@
       {"capacity", "give-up-boot", &Tuning::give_up_boot, 1, 100,
        "boots longer than this, in nominal times, are given up"},
   };
-  return fields;
+  return kFields;
 }
 
-std::string ReadTuning(const std::string& text, Tuning* out) {
-  std::string bad;
-  const std::optional<SExpression> root = SExpression::Parse(text, &bad);
-  if (!root) return bad;
-  if (root->Name() != "deckhall") return "does not begin with (deckhall";
-  for (int i = 1; i < root->size(); ++i) {
-    const std::optional<SExpression> section = root->List(i);
-    if (!section) return "a section is not a list";
-    const std::string name = section->Name();
-    for (int k = 1; k < section->size(); ++k) {
-      const std::optional<SExpression> entry = section->List(k);
-      if (!entry) return name + ": an entry is not a list";
-      bad = SetField(name, *entry, out);
-      if (!bad.empty()) return bad;
-    }
+std::string DescribeError(const TuningError& error) {
+  switch (error.kind) {
+    case TuningErrorKind::kNotSExpression:
+      return DescribeError(error.syntax);
+    case TuningErrorKind::kWrongRoot:
+      return "does not begin with (deckhall";
+    case TuningErrorKind::kSectionNotList:
+      return "a section is not a list";
+    case TuningErrorKind::kEntryNotList:
+      return error.section + ": an entry is not a list";
+    case TuningErrorKind::kOutOfRange:
+      return DescribeRange(*error.field);
+    case TuningErrorKind::kRenewalTooSlow:
+      return "leader renew-ms: more than half of lease-ms";
+    case TuningErrorKind::kLateBootAfterGivingUp:
+      return "capacity late-boot: more than give-up-boot";
   }
-  if (out->keep_alive_ms * 2 > out->lease_ms) return "leader renew-ms: more than half of lease-ms";
-  if (out->late_boot > out->give_up_boot) return "capacity late-boot: more than give-up-boot";
   return "";
 }
 
+Result<Tuning, TuningError> ReadTuning(const std::string& text) {
+  const auto root = SExpression::Parse(text);
+  if (!root.has_value()) {
+    return TuningError{.kind = TuningErrorKind::kNotSExpression, .syntax = root.error()};
+  }
+  if (root.value().Name() != "deckhall") return TuningError{.kind = TuningErrorKind::kWrongRoot};
+  Tuning tuning;
+  for (int i = 1; i < root.value().size(); ++i) {
+    const std::optional<SExpression> section = root.value().List(i);
+    if (!section) return TuningError{.kind = TuningErrorKind::kSectionNotList};
+    BOOST_OUTCOME_TRYV(ReadSection(*section, &tuning));
+  }
+  BOOST_OUTCOME_TRYV(CheckConsistency(tuning));
+  return tuning;
+}
+
 }  // namespace deckhall
--- a/src/config/tuning.h
+++ b/src/config/tuning.h
@@ -1,11 +1,19 @@
-// The operators' own settings: an S-expression file.
+// The operators' own settings: an S-expression file (deckhall (section (name "value") ...) ...).
+//
+// What the file leaves out keeps its default, and unknown names are ignored. A Tuning that was
+// read is within the bounds of its fields, and consistent: the leader's lease outlives a missed
+// renewal. Read once, at the start, and constant from then on.
 #pragma once
 
 #include <string>
 #include <vector>
 
+#include "common/result.h"
+#include "config/sexpression.h"
+
 namespace deckhall {
 
+// Names end in the unit; TuningFields() says what each one does.
 struct Tuning {
   // leader
   double lease_ms = 1000;
@@ -51,18 +59,41 @@
   double give_up_boot = 4;
 };
 
+// One setting: where it stands in the file, and what it may be.
 struct TuningField {
   const char* section;
-  const char* name;
-  double Tuning::*member;
+  const char* name;        // in the file
+  double Tuning::*member;  // where it goes
   double least;
   double most;
-  const char* help;
+  const char* help;  // for operators
 };
 
+// All settings, in the order of the operators' page.
 const std::vector<TuningField>& TuningFields();
 
-// Returns the reason why the text is no tuning, or an empty string.
-std::string ReadTuning(const std::string& text, Tuning* out);
+enum class TuningErrorKind {
+  kNotSExpression,
+  kWrongRoot,  // another file, perhaps
+  kSectionNotList,
+  kEntryNotList,    // in `section`
+  kOutOfRange,      // `field` is no number, or beyond its bounds
+  kRenewalTooSlow,  // one missed renewal would lose the leader's lease
+  kLateBootAfterGivingUp,
+};
+
+// Why a text is no tuning.
+struct TuningError {
+  TuningErrorKind kind;
+  SExpressionError syntax = {};        // of kNotSExpression
+  std::string section = {};            // of kEntryNotList
+  const TuningField* field = nullptr;  // of kOutOfRange
+};
+
+// The error in one line, for operators.
+std::string DescribeError(const TuningError& error);
+
+// Reads and checks the text of the file.
+Result<Tuning, TuningError> ReadTuning(const std::string& text);
 
 }  // namespace deckhall
--- a/src/drain/policy.cc
+++ b/src/drain/policy.cc
@@ -268,13 +268,12 @@
 std::string ReadPolicy(const std::string& text, DisruptionPolicy* out) {
   *out = DisruptionPolicy();
   out->text = text;
-  std::string bad;
-  const std::optional<SExpression> root = SExpression::Parse(text, &bad);
-  if (!root) return bad;
-  if (root->Name() != "disruption") return "does not begin with (disruption";
+  const auto root = SExpression::Parse(text);
+  if (!root.has_value()) return DescribeError(root.error());
+  if (root.value().Name() != "disruption") return "does not begin with (disruption";
   Reader reader;
   bool has_revision = false;
-  reader.ForEach(*root, 1, "disruption", [&](const SExpression& section) {
+  reader.ForEach(root.value(), 1, "disruption", [&](const SExpression& section) {
     if (section.Name() == "revision") {
       out->revision = static_cast<uint64_t>(reader.Whole(section, "disruption", 1, kMostRevision));
       has_revision = true;
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -285,9 +285,9 @@
 "external":{"cloud":"127.0.0.1:4","state":"127.0.0.1:5"},
 "cluster":{"zones":["a","b"],"teams":[{"name":"t","cpus":1,"cpus_max":2}],
 "workers":{"lease_s":30,"cancel_s":55},"state":{"rps":60},"quota":{"max_sockets":2500}}})";
-  Settings s;
-  EXPECT_EQ(ReadSettings(good, &s), "");
-  EXPECT_EQ(s.teams[0].cores_max, 2);
+  const auto settings = ReadSettings(good);
+  ASSERT_TRUE(settings.has_value()) << DescribeError(settings.error());
+  EXPECT_EQ(settings.value().teams[0].cores_max, 2);
   for (const auto& [from, to] : std::vector<std::pair<std::string, std::string>>{
            {"\"n0\"", "0"},
            {"127.0.0.1:1\"", "here\""},
@@ -298,25 +298,96 @@
            {"\"zones\":[\"a\",\"b\"]", "\"zones\":3"}}) {
     std::string bad = good;
     bad.replace(bad.find(from), from.size(), to);
-    Settings out;
-    EXPECT_NE(ReadSettings(bad, &out), "") << to;
+    const auto refused = ReadSettings(bad);
+    ASSERT_FALSE(refused.has_value()) << to;
+    EXPECT_NE(DescribeError(refused.error()), "") << to;
   }
 }
 
 TEST(Tuning, SExpressionsAreReadAndChecked) {
-  Tuning t;
-  EXPECT_EQ(ReadTuning(R"x((deckhall (leader (lease-ms "4000")) (rank (weight-idle "0.5"))))x", &t),
-            "");
-  EXPECT_EQ(t.lease_ms, 4000);
-  EXPECT_EQ(t.weight_idle, 0.5);
+  const auto tuning =
+      ReadTuning(R"x((deckhall (leader (lease-ms "4000")) (rank (weight-idle "0.5"))))x");
+  ASSERT_TRUE(tuning.has_value()) << DescribeError(tuning.error());
+  EXPECT_EQ(tuning.value().lease_ms, 4000);
+  EXPECT_EQ(tuning.value().weight_idle, 0.5);
   for (const char* bad :
        {"", "(", "(other)", "(deckhall (leader (lease-ms x)))",
         "(deckhall (leader (lease-ms 4000)))", R"x((deckhall (leader (lease-ms "1"))))x",
         "(deckhall leader)", R"x((deckhall (leader (lease-ms "1000") (renew-ms "900"))))x"}) {
-    Tuning out;
-    EXPECT_NE(ReadTuning(bad, &out), "") << bad;
+    const auto refused = ReadTuning(bad);
+    ASSERT_FALSE(refused.has_value()) << bad;
+    EXPECT_NE(DescribeError(refused.error()), "") << bad;
   }
 }
 
+// What operators read about files that can't be used.
+TEST(Settings, EachErrorHasItsWords) {
+  const std::string good = R"({"label":"n0","serve_on":"127.0.0.1:1","mesh_addr":"127.0.0.1:2",
+"siblings":[{"label":"n1","endpoint":"127.0.0.1:3"}],
+"external":{"cloud":"127.0.0.1:4","state":"127.0.0.1:5"},
+"cluster":{"zones":["a"],"teams":[{"name":"t","cpus":1}],
+"workers":{"lease_s":30},"state":{"rps":60,"next":{"rps":30}},"quota":{"max_sockets":99}}})";
+  struct Case {
+    std::string from;
+    std::string to;
+    std::string words;
+  };
+  const std::vector<Case> cases = {
+      {"{\"label\":\"n0\"", "7{\"label\":\"n0\"", "not a JSON object"},
+      {"\"n0\"", "\"\"", "label: missing"},
+      {"serve_on", "other", "serve_on: missing"},
+      {"127.0.0.1:2", "here", "mesh_addr: not an address: here"},
+      {"[{\"label\":\"n1\",\"endpoint\":\"127.0.0.1:3\"}]", "{}", "siblings: not a list"},
+      {"\"n1\"", "\"\"", "siblings: label missing"},
+      {"\"n1\"", "\"n0\"", "siblings: own label n0"},
+      {"endpoint", "other", "siblings: endpoint: missing"},
+      {"127.0.0.1:3", "there", "siblings: endpoint: not an address: there"},
+      {"external", "other", "external: missing"},
+      {"127.0.0.1:4", "up", "external: cloud: not an address: up"},
+      {"\"state\":\"127", "\"other\":\"127", "external: state: missing"},
+      {"cluster", "other", "cluster: missing"},
+      {"[\"a\"]", "3", "zones: not a list"},
+      {"[\"a\"]", "[3]", "zones: not names"},
+      {"[{\"name\":\"t\",\"cpus\":1}]", "3", "teams: not a list"},
+      {"\"t\"", "\"\"", "teams: name missing"},
+      {"\"cpus\":1", "\"cpus\":-1", "teams: cpus invalid"},
+      {"\"rps\":60", "\"rps\":0", "state.rps: not a positive number"},
+      {"{\"rps\":30}", "3", "state.next: not an object"},
+      {"\"rps\":30", "\"txn_ops\":0", "state.next.txn_ops: not a positive number"},
+      {"\"lease_s\":30", "\"lease_s\":\"x\"", "lease_s: not a positive number"},
+      {"\"max_sockets\":99", "\"max_sockets\":0", "max_sockets: not a positive number"},
+      {"\"max_sockets\":99", "\"cores\":0", "cores: not a positive number"}};
+  for (const Case& c : cases) {
+    std::string bad = good;
+    bad.replace(bad.find(c.from), c.from.size(), c.to);
+    const auto refused = ReadSettings(bad);
+    ASSERT_FALSE(refused.has_value()) << c.words;
+    EXPECT_EQ(DescribeError(refused.error()), c.words);
+  }
+}
+
+TEST(Tuning, EachErrorHasItsWords) {
+  const std::vector<std::pair<std::string, std::string>> cases = {
+      {"(other)", "does not begin with (deckhall"},
+      {"(deckhall leader)", "a section is not a list"},
+      {"(deckhall (leader lease))", "leader: an entry is not a list"},
+      {R"x((deckhall (leader (lease-ms "1"))))x",
+       "leader lease-ms: not a number from 500.000000 to 60000.000000"},
+      {R"x((deckhall (leader (lease-ms "1000") (renew-ms "900"))))x",
+       "leader renew-ms: more than half of lease-ms"},
+      {R"x((deckhall (capacity (late-boot "5"))))x", "capacity late-boot: more than give-up-boot"}};
+  for (const auto& [text, words] : cases) {
+    const auto refused = ReadTuning(text);
+    ASSERT_FALSE(refused.has_value()) << text;
+    EXPECT_EQ(DescribeError(refused.error()), words);
+  }
+  const auto refused = ReadTuning("(deckhall (leader (lease-ms 4000)))");
+  ASSERT_FALSE(refused.has_value());
+  EXPECT_TRUE(DescribeError(refused.error()).starts_with("not an S-expression (at byte "))
+      << DescribeError(refused.error());
+  EXPECT_TRUE(DescribeError(refused.error())
+                  .ends_with("); numbers go in quotes, as in (lease-ms \"2500\")"));
+}
+
 }  // namespace
 }  // namespace deckhall
