--- a/src/leader/leader.cc
+++ b/src/leader/leader.cc
@@ -19,8 +19,6 @@
 constexpr double kMaxPlacementGapSeconds = 0.2;
 constexpr int kMaxLoadAttempts = 4;
 constexpr double kLivenessCheckIntervalSeconds = 0.25;
-constexpr int kAdmissionRetryAfterSeconds = 10;
-constexpr double kAdmissionLogIntervalSeconds = 60;
 
 RecordStoreLimits StoreLimitsFrom(const Settings& settings) {
   RecordStoreLimits l;
@@ -51,16 +49,6 @@
 
 }  // namespace
 
-double MessagesPerSecond(const Settings& settings, const Tuning& tuning) {
-  return settings.quota_cores * 1000 / tuning.worker_call_ms;
-}
-
-// A task whose cancellation another leader told of must be gone in cancel_s even
-// from a machine that only we still answered: hold and lease fit into it.
-double GracePeriodSeconds(const Settings& settings) {
-  return std::max(0.0, (settings.cancel_s - settings.lease_s) * 0.9 - 1.5);
-}
-
 Leader::Leader(const LeaderPorts& ports, const Settings* settings, const Tuning* tuning,
                const std::string& leader_key, uint64_t term)
     : ports_(ports),
@@ -87,6 +75,16 @@
               ports.clock, tuning),
       autoscaler_(&job_store_, &fleet_, &free_capacity_, &ranking_, &provisioner_, &ledger_,
                   &drainer_, ports.clock, settings, tuning),
+      admission_control_(&job_store_, &provisioner_, ports.clock, settings),
+      job_request_handler_({.job_store = &job_store_,
+                            .fleet = &fleet_,
+                            .record_store = &record_store_,
+                            .provisioner = &provisioner_,
+                            .free_capacity = &free_capacity_,
+                            .ranking = &ranking_,
+                            .admission_control = &admission_control_,
+                            .lease = ports.lease,
+                            .clock = ports.clock}),
       command_budget_(
           MessagesPerSecond(*settings, *tuning) * tuning->command_share,
           std::max(20.0, MessagesPerSecond(*settings, *tuning) * tuning->command_share / 4)),
@@ -95,7 +93,7 @@
           std::max(20.0, MessagesPerSecond(*settings, *tuning) * tuning->probe_share * 2)) {
   for (const std::string& z : settings->zones) job_store_.zones.Add(z);
   for (const Team& candidate : settings->teams) job_store_.teams.Add(candidate.name);
-  record_store_.on_commit = [this] { HandleCommit(); };
+  record_store_.on_commit = [this] { job_request_handler_.HandleCommit(); };
   record_store_.on_leadership_lost = [this] {
     if (on_leadership_lost) on_leadership_lost("a write met another term");
   };
@@ -179,210 +177,12 @@
   return since + GracePeriodSeconds(*settings_);
 }
 
-JobResponse Leader::JobStatusResponse(JobIndex job_index, int status) const {
-  const Job& job = job_store_[job_index];
-  JobResponse response;
-  response.status = status;
-  response.tasks_done = job.tasks_done;
-  response.tasks_running = job.tasks_running;
-  response.state = job.tasks_running > 0 ? JobState::kRunning : JobState::kPending;
-  if (job.lifecycle == JobLifecycle::kActive) return response;
-  if (!job.end_acknowledged) return response;  // nobody was told of the end yet
-  response.state = job.lifecycle == JobLifecycle::kDone ? JobState::kDone : JobState::kCancelled;
-  response.tasks_running = 0;
-  return response;
-}
-
 void Leader::HandleJobRequest(const JobRequest& request, JobResponseCallback done) {
   if (!loaded_) {
     done(UnavailableResponse("taking over"));
     return;
   }
-  const bool trusted = ports_.lease->IsLeaseValid();
-  const JobIndex job_index = job_store_.Find(request.job_id);
-  // Final states never change: they may be told without the lease.
-  if (job_index != kNoIndex && job_store_[job_index].end_acknowledged) {
-    done(JobStatusResponse(job_index, 200));
-    return;
-  }
-  if (!trusted) {
-    done(UnavailableResponse("the state service does not answer"));
-    return;
-  }
-  switch (request.operation) {
-    case JobOperation::kSubmit:
-      Submit(request, std::move(done));
-      return;
-    case JobOperation::kCancel:
-      Cancel(request, std::move(done));
-      return;
-    case JobOperation::kGet:
-      break;
-  }
-  if (job_index == kNoIndex) {
-    done(UnknownJobResponse());
-  } else if (!job_store_[job_index].acknowledged) {
-    done(UnavailableResponse("being accepted"));
-  } else {
-    done(JobStatusResponse(job_index, 200));
-  }
-}
-
-JobResponse Leader::UnknownJobResponse() const {
-  // What an unreadable page held may have been accepted: it can't be denied.
-  if (record_store_.unreadable_pages() > 0)
-    return UnavailableResponse("a page of the state service can't be read");
-  JobResponse response;
-  response.status = 404;
-  response.error = "no such job";
-  return response;
-}
-
-std::string Leader::InfeasibleReason(const JobSpec& spec) const {
-  const Team* team = nullptr;
-  for (const Team& candidate : settings_->teams) {
-    if (candidate.name == spec.team) team = &candidate;
-  }
-  if (team == nullptr) return "unknown team";
-  const double n = spec.service || spec.gang ? spec.task_count : 1;
-  if (team->cores_max > 0 && spec.cores * n > team->cores_max + 1e-6) {
-    return "more cores than the team's limit";
-  }
-  if (team->gpus_max > 0 && spec.gpus * n > team->gpus_max + 1e-6) {
-    return "more gpus than the team's limit";
-  }
-  for (const MachineType& type : provisioner_.types()) {
-    if (spec.allowed_types && std::find(spec.allowed_types->begin(), spec.allowed_types->end(),
-                                        type.name) == spec.allowed_types->end()) {
-      continue;
-    }
-    if (!spec.zone.empty() &&
-        std::find(type.zones.begin(), type.zones.end(), spec.zone) == type.zones.end()) {
-      continue;
-    }
-    if (spec.cores <= type.cores + 1e-6 && spec.gpus <= type.gpus + 1e-6 &&
-        spec.memory_gb <= type.memory_gb + 1e-6) {
-      return "";
-    }
-  }
-  return "fits no allowed machine type";
-}
-
-const char* Leader::AdmissionLimitReached(const JobSpec& spec) {
-  const char* why = nullptr;
-  if (job_store_.active_jobs().size() >= MaxActiveJobs(*settings_)) {
-    why = "as many jobs are unfinished as the memory allows";
-  } else if (job_store_.active_task_count() + spec.task_count > MaxActiveTasks(*settings_)) {
-    why = "as many tasks are unfinished as the memory allows";
-  } else if (pending_responses_.size() >= MaxPendingResponses(*settings_)) {
-    why = "as many users wait for an answer as there are connections";
-  }
-  const double now = ports_.clock->Now();
-  if (why != nullptr && now >= admission_limit_logged_at_ + kAdmissionLogIntervalSeconds) {
-    admission_limit_logged_at_ = now;
-    spdlog::warn("no new job is taken: {} ({} jobs, {} tasks)", why,
-                 job_store_.active_jobs().size(), job_store_.active_task_count());
-  }
-  return why;
-}
-
-void Leader::Submit(const JobRequest& request, JobResponseCallback done) {
-  JobIndex job_index = job_store_.Find(request.job_id);
-  if (job_index != kNoIndex && job_store_[job_index].acknowledged) {
-    done(JobStatusResponse(job_index, 200));
-    return;
-  }
-  if (job_index == kNoIndex) {
-    JobResponse response;
-    if (!request.validation_error.empty()) {
-      response.status = 400;
-      response.error = request.validation_error;
-      done(response);
-      return;
-    }
-    if (!provisioner_.types_known()) {
-      done(UnavailableResponse("machine types are not known yet"));
-      return;
-    }
-    response.error = job_store_.FitsRecord(request.job) ? InfeasibleReason(request.job)
-                                                        : "its description is too large to keep";
-    if (!response.error.empty()) {
-      response.status = 422;
-      done(response);
-      return;
-    }
-    if (const char* full = AdmissionLimitReached(request.job)) {
-      done(UnavailableResponse(full, kAdmissionRetryAfterSeconds));
-      return;
-    }
-    job_index = job_store_.Create(request.job, ports_.clock->Wall());
-    Job& job = job_store_[job_index];
-    job.remaining_core_seconds = ranking_.RemainingCoreSeconds(job);
-    job.waiting_since = job.starved_since = ports_.clock->Now();
-    if (job.spec.service) free_capacity_.RecordServiceArrival(job);
-    ranking_.Invalidate();
-  }
-  pending_responses_.push_back(
-      {job_index, JobOperation::kSubmit, std::move(done), 201, ports_.clock->Now()});
-  record_store_.Flush();
-}
-
-void Leader::Cancel(const JobRequest& request, JobResponseCallback done) {
-  const JobIndex job_index = job_store_.Find(request.job_id);
-  if (job_index == kNoIndex) {
-    done(UnknownJobResponse());
-    return;
-  }
-  if (!job_store_[job_index].acknowledged) {
-    done(UnavailableResponse("being accepted"));
-    return;
-  }
-  if (job_store_[job_index].lifecycle == JobLifecycle::kActive) {
-    spdlog::info("job {} is cancelled by its user", request.job_id);
-    // Its work is of no use from the moment its user asks.
-    job_store_.EndJob(job_index, JobLifecycle::kCancelled, ports_.clock->Now());
-    fleet_.RequestStopOfJob(job_index);
-    ranking_.Invalidate();
-    fleet_.placement_needed = true;
-  } else {
-    // It has just ended: its user waits for that to be durable.
-    job_store_.Save(job_index, WritePriority::kImmediate);
-  }
-  pending_responses_.push_back(
-      {job_index, JobOperation::kCancel, std::move(done), 200, ports_.clock->Now()});
-  record_store_.Flush();
-}
-
-void Leader::HandleCommit() {
-  for (JobIndex job_index : job_store_.active_jobs()) {
-    Job& job = job_store_[job_index];
-    if (!job.acknowledged && job_store_.IsDurable(job_index)) {
-      job.acknowledged = true;
-      fleet_.placement_needed = true;
-      spdlog::info("job {} accepted: {} of {}, {} tasks of {} cores, estimate {} s, deadline {} s",
-                   job.id, job.spec.job_class, job.spec.team, job.spec.task_count, job.spec.cores,
-                   job.spec.estimated_runtime_s, job.spec.deadline_s.value_or(0));
-    }
-  }
-  for (JobIndex job_index : job_store_.ended_jobs()) {
-    // Once told it stays told: the row may be rewritten later, the answer may not
-    // go back.
-    if (job_store_.IsDurable(job_index)) job_store_[job_index].end_acknowledged = true;
-  }
-  const bool trusted = ports_.lease->IsLeaseValid();
-  std::vector<PendingResponse> ready;
-  std::vector<PendingResponse> rest;
-  for (PendingResponse& pending : pending_responses_) {
-    (job_store_.IsDurable(pending.job) ? ready : rest).push_back(std::move(pending));
-  }
-  pending_responses_ = std::move(rest);
-  for (PendingResponse& pending : ready) {
-    Job& job = job_store_[pending.job];
-    job.acknowledged = true;
-    const bool final = job.lifecycle != JobLifecycle::kActive;
-    pending.done(trusted || final ? JobStatusResponse(pending.job, pending.status)
-                                  : UnavailableResponse("the lease ran out"));
-  }
+  job_request_handler_.HandleJobRequest(request, std::move(done));
 }
 
 void Leader::SaveRankingProgress() {
@@ -414,8 +214,7 @@
   retired_ = true;
   loaded_ = false;
   record_store_.Stop();
-  for (PendingResponse& pending : std::exchange(pending_responses_, {}))
-    pending.done(UnavailableResponse("another node leads"));
+  job_request_handler_.FailPending("another node leads");
 }
 
 void Leader::Tick() {
@@ -428,9 +227,7 @@
   const bool trusted = ports_.lease->IsLeaseValid();
   if (!trusted) {
     // What can't be made durable now is answered now; the user comes again.
-    for (PendingResponse& pending : std::exchange(pending_responses_, {})) {
-      pending.done(UnavailableResponse("the state service does not answer"));
-    }
+    job_request_handler_.FailPending("the state service does not answer");
     record_store_.Flush();
     return;
   }
--- a/src/leader/leader.h
+++ b/src/leader/leader.h
@@ -13,19 +13,14 @@
 #include "fleet/worker_client.h"
 #include "leader/autoscaler.h"
 #include "leader/gang_supervisor.h"
+#include "leader/job_request_handler.h"
+#include "leader/leader_timing.h"
+#include "leader/leadership_lease.h"
 #include "leader/placer.h"
 #include "net/token_bucket.h"
 
 namespace deckhall {
 
-// The term's lease, seen by the holder's own clock.
-class LeadershipLease {
- public:
-  virtual ~LeadershipLease() = default;
-  virtual bool IsLeaseValid() const = 0;
-  virtual double LeaseValidUntil() const = 0;
-};
-
 struct LeaderPorts {
   KeyValueStore* key_value_store = nullptr;
   CloudProvider* cloud = nullptr;
@@ -42,7 +37,7 @@
 
 class Leader {
  public:
-  using JobResponseCallback = std::function<void(JobResponse)>;
+  using JobResponseCallback = JobRequestHandler::ResponseCallback;
 
   Leader(const LeaderPorts& ports, const Settings* settings, const Tuning* tuning,
          const std::string& leader_key, uint64_t term);
@@ -75,24 +70,8 @@
   uint64_t implausible_heartbeats() const { return implausible_heartbeats_; }
 
  private:
-  struct PendingResponse {
-    JobIndex job;
-    JobOperation operation;
-    JobResponseCallback done;
-    int status;
-    double since;
-  };
-
   void Load();
   void HandleLoadedRecords(const std::vector<std::pair<RecordId, std::string>>& rows);
-  void Submit(const JobRequest& request, JobResponseCallback done);
-  void Cancel(const JobRequest& request, JobResponseCallback done);
-  JobResponse JobStatusResponse(JobIndex job_index, int status) const;
-  JobResponse UnknownJobResponse() const;
-  std::string InfeasibleReason(const JobSpec& spec) const;
-  // The limit that stands against one more such job; null: none does.
-  const char* AdmissionLimitReached(const JobSpec& spec);
-  void HandleCommit();
   void ReleaseUnreconciledTasks();
   void HandleAttemptExit(MachineIndex machine_index, const TaskAttempt& attempt);
   void RecordTaskFailure(MachineIndex machine_index, const TaskAttempt& attempt);
@@ -142,6 +121,8 @@
   EvictionController drainer_;
   Placer placer_;
   Autoscaler autoscaler_;
+  AdmissionControl admission_control_;
+  JobRequestHandler job_request_handler_;
   TokenBucket command_budget_;  // commands sent straight to workers
   TokenBucket probe_budget_;
   std::shared_ptr<const DisruptionPolicy> policy_;
@@ -176,19 +157,6 @@
   uint64_t examined_ = 0;
   uint64_t implausible_heartbeats_ = 0;
   double implausible_logged_at_ = -1e9;
-  double admission_limit_logged_at_ = -1e9;
-  std::vector<PendingResponse> pending_responses_;
 };
 
-// How long a leader goes on answering reports after it last had its lease.
-double GracePeriodSeconds(const Settings& settings);
-
-// Seconds after which a machine's report is overdue.
-inline double HeartbeatOverdueSeconds(const Settings& settings) {
-  return settings.heartbeat_interval_s * 1.3 + 0.5;
-}
-
-// Questions to workers that the processor share allows for in a second.
-double MessagesPerSecond(const Settings& settings, const Tuning& tuning);
-
 }  // namespace deckhall
