--- /dev/null
+++ b/src/leader/attempt_exit_handler.h
@@ -0,0 +1,39 @@
+// What follows for a job and its machine when a task attempt exits: success, refusal, failure.
+//
+// A failure is either the job's or the machine's fault; where else the job failed tells which. A
+// job that fails repeatedly backs off, and a machine on which different jobs fail is quarantined:
+// it takes no new tasks for a while, longer each time until a task succeeds there. Owned by Leader.
+#pragma once
+
+#include "fleet/fleet.h"
+#include "leader/gang_supervisor.h"
+#include "leader/ranking.h"
+
+namespace deckhall {
+
+class AttemptExitHandler {
+ public:
+  AttemptExitHandler(JobStore* job_store, Fleet* fleet, GangSupervisor* gang_supervisor,
+                     Ranking* ranking, const Clock* clock);
+
+  // An attempt exited on the machine; called after Fleet has accounted for it.
+  void HandleAttemptExit(MachineIndex machine_index, const TaskAttempt& attempt);
+  // Clears the failures of services that have run long enough since the last of them.
+  void ClearFailuresOfProvenServices();
+
+ private:
+  void RecordSuccess(Machine* machine, const TaskAttempt& attempt);
+  void RecordRefusal(const Machine& machine, const TaskAttempt& attempt);
+  void RecordFailure(MachineIndex machine_index, const TaskAttempt& attempt);
+  // Counts the failure for the job. Whether it is its first remembered failure on this machine.
+  bool CountJobFailure(Job* job, MachineIndex machine_index);
+  void QuarantineIfFailing(Machine* machine);
+
+  JobStore* job_store_;
+  Fleet* fleet_;
+  GangSupervisor* gang_supervisor_;
+  Ranking* ranking_;
+  const Clock* clock_;
+};
+
+}  // namespace deckhall
--- /dev/null
+++ b/src/leader/command_dispatcher.cc
@@ -0,0 +1,114 @@
+#include "leader/command_dispatcher.h"
+
+#include <algorithm>
+#include <cmath>
+
+#include "leader/leader_timing.h"
+
+namespace deckhall {
+namespace {
+
+constexpr double kCommandTimeoutSeconds = 1.5;
+constexpr double kMinCommandBurst = 20;
+constexpr double kCommandBurstsPerSecond = 4;
+// Lets a command go out although the budget is used up: it is checked before each machine.
+constexpr double kUnlimitedDebt = -1e9;
+// Backoff of a machine that does not respond; doubles up to the largest.
+constexpr double kCommandBackoffSeconds = 0.25;
+constexpr int kMaxCommandBackoffDoublings = 6;
+constexpr double kMaxCommandBackoffSeconds = 4;
+constexpr double kConflictBackoffSeconds = 0.2;
+constexpr int kHttpConflict = 409;
+
+TokenBucket CommandBudget(const Settings& settings, const Tuning& tuning) {
+  const double rate = MessagesPerSecond(settings, tuning) * tuning.command_share;
+  return {rate, std::max(kMinCommandBurst, rate / kCommandBurstsPerSecond)};
+}
+
+}  // namespace
+
+CommandDispatcher::CommandDispatcher(const Dependencies& dependencies, const Settings& settings,
+                                     const Tuning& tuning)
+    : deps_(dependencies), budget_(CommandBudget(settings, tuning)) {}
+
+void CommandDispatcher::PushPendingCommands(double now) {
+  MachineIndex changed = 0;
+  while (budget_.Level(now) >= 1 && deps_.fleet->PopChanged(&changed)) PushCommands(changed);
+}
+
+bool CommandDispatcher::MaySendNow(const Machine& machine) const {
+  return !machine.command_in_flight && !machine.removed && !machine.scaling_in &&
+         !machine.endpoint.empty() && deps_.clock->Now() >= machine.command_backoff_until;
+}
+
+void CommandDispatcher::PushCommands(MachineIndex machine_index) {
+  const Machine& machine = (*deps_.fleet)[machine_index];
+  ++work_units_;
+  // Also called for responses, which may arrive after the lease has expired.
+  if (!deps_.lease->IsLeaseValid() || !MaySendNow(machine)) return;
+  const bool greet = !machine.reconciled && (machine.may_run_former_attempts || machine.up);
+  const bool may_launch = deps_.lease_expiry_bounds->HasNoBound(machine_index);
+  if (!greet && (!machine.up || !deps_.fleet->HasCommands(machine_index, may_launch))) return;
+  const std::vector<Command> commands = deps_.fleet->BuildCommands(machine_index, may_launch);
+  if (commands.empty() && !greet && Fleet::HasAcknowledgedToken(machine)) return;
+  Send(machine_index, commands);
+}
+
+void CommandDispatcher::Send(MachineIndex machine_index, const std::vector<Command>& commands) {
+  Machine& machine = (*deps_.fleet)[machine_index];
+  machine.command_in_flight = true;
+  budget_.Take(deps_.clock->Now(), 1, kUnlimitedDebt);
+  const HeartbeatVersion version = deps_.fleet->VersionOf(machine_index);
+  deps_.workers->SendCommands(machine.endpoint, machine.fencing_token, machine.agent_epoch,
+                              commands, kCommandTimeoutSeconds,
+                              [this, machine_index, version](const WorkerResponse& response) {
+                                if (!stopped_) HandleResponse(machine_index, response, version);
+                              });
+}
+
+void CommandDispatcher::HandleResponse(MachineIndex machine_index, const WorkerResponse& response,
+                                       HeartbeatVersion version) {
+  Machine& machine = (*deps_.fleet)[machine_index];
+  const double now = deps_.clock->Now();
+  machine.command_in_flight = false;
+  if (machine.removed) return;
+  const bool from_machine = response.has_heartbeat && response.heartbeat.machine == machine.name;
+  deps_.reachability_monitor->RecordOutcome(machine, from_machine);
+  if (!from_machine) {
+    HandleMissingResponse(machine_index, response);
+    return;
+  }
+  if (!deps_.heartbeat_validator->IsPlausible(response.heartbeat)) {
+    // Returned as unreachable if it stays so.
+    machine.command_backoff_until = now + kMaxCommandBackoffSeconds;
+    deps_.fleet->RecordUnreachable(machine_index);
+    return;
+  }
+  machine.command_failures = 0;
+  if (response.status == kHttpConflict) {
+    machine.command_backoff_until = now + kConflictBackoffSeconds;
+  }
+  deps_.fleet->ApplyProbeResponse(machine_index, response.heartbeat, version);
+  if (machine.record_id == kNoRecord && machine.reconciled) {
+    deps_.provisioner->SaveMachine(machine_index, WritePriority::kDeferred);
+  }
+  PushCommands(machine_index);
+}
+
+void CommandDispatcher::HandleMissingResponse(MachineIndex machine_index,
+                                              const WorkerResponse& response) {
+  Machine& machine = (*deps_.fleet)[machine_index];
+  ++machine.command_failures;
+  const int doublings = std::min(machine.command_failures, kMaxCommandBackoffDoublings);
+  machine.command_backoff_until =
+      deps_.clock->Now() +
+      std::min(kMaxCommandBackoffSeconds, kCommandBackoffSeconds * std::pow(2.0, doublings));
+  deps_.fleet->RecordUnreachable(machine_index);
+  if (response.has_heartbeat) {
+    deps_.heartbeat_validator->RecordImplausible(machine.name,
+                                                 "another machine responds at its endpoint");
+  }
+  if (response.sent) deps_.fleet->FenceOffSentCommands(machine_index);
+}
+
+}  // namespace deckhall
--- /dev/null
+++ b/src/leader/command_dispatcher.h
@@ -0,0 +1,61 @@
+// Commands sent straight to workers, between their heartbeats.
+//
+// Sends each changed machine its launches, stops and clears, and greets machines that are not
+// reconciled with this term's fencing token. At most one request per machine is in flight.
+// Nothing is sent without a valid lease, and no launch while a bound on the machine's lease expiry
+// is in effect. A command that was sent and not answered may still arrive: the machine's fencing
+// token is then raised before the next. Direct commands renew no lease. Owned by Leader.
+// PROTOCOL: "POST /do", "Delayed messages".
+#pragma once
+
+#include <vector>
+
+#include "config/settings.h"
+#include "config/tuning.h"
+#include "fleet/worker_client.h"
+#include "leader/heartbeat_validator.h"
+#include "leader/lease_expiry_bounds.h"
+#include "leader/reachability_monitor.h"
+#include "net/token_bucket.h"
+
+namespace deckhall {
+
+class CommandDispatcher {
+ public:
+  struct Dependencies {
+    Fleet* fleet;
+    Provisioner* provisioner;
+    HeartbeatValidator* heartbeat_validator;
+    LeaseExpiryBounds* lease_expiry_bounds;
+    ReachabilityMonitor* reachability_monitor;
+    WorkerClient* workers;
+    const LeadershipLease* lease;
+    const Clock* clock;
+  };
+
+  CommandDispatcher(const Dependencies& dependencies, const Settings& settings,
+                    const Tuning& tuning);
+
+  // Pushes commands to changed machines, as far as the budget allows at this steady time.
+  void PushPendingCommands(double now);
+  // Responses that are still to come are ignored.
+  void Stop() { stopped_ = true; }
+  // Machines looked at so far, to bound the work as the fleet grows.
+  uint64_t work_units() const { return work_units_; }
+
+ private:
+  void PushCommands(MachineIndex machine_index);
+  bool MaySendNow(const Machine& machine) const;
+  void Send(MachineIndex machine_index, const std::vector<Command>& commands);
+  void HandleResponse(MachineIndex machine_index, const WorkerResponse& response,
+                      HeartbeatVersion version);
+  // No response, or one from another machine at this endpoint.
+  void HandleMissingResponse(MachineIndex machine_index, const WorkerResponse& response);
+
+  const Dependencies deps_;
+  TokenBucket budget_;
+  uint64_t work_units_ = 0;
+  bool stopped_ = false;
+};
+
+}  // namespace deckhall
--- /dev/null
+++ b/src/leader/ended_job_collector.h
@@ -0,0 +1,30 @@
+// Collection of ended jobs: drops the specs of jobs that are over for good.
+//
+// A spec is kept until no machine can still run a task of the job, since stops for such tasks are
+// built from it; what users may ask for is kept for ever. Owned by Leader.
+#pragma once
+
+#include "config/settings.h"
+#include "net/clock.h"
+#include "state/job_store.h"
+
+namespace deckhall {
+
+class EndedJobCollector {
+ public:
+  EndedJobCollector(JobStore* job_store, const Clock* clock, const Settings* settings)
+      : job_store_(job_store), clock_(clock), settings_(settings) {}
+
+  // Drops the specs that are not needed any more.
+  void CollectEndedJobs();
+
+ private:
+  // Whether a task of the job may still run on a machine, or its end is not acknowledged yet.
+  bool IsSpecNeeded(const Job& job, double now) const;
+
+  JobStore* job_store_;
+  const Clock* clock_;
+  const Settings* settings_;
+};
+
+}  // namespace deckhall
--- a/src/leader/leader.cc
+++ b/src/leader/leader.cc
@@ -3,49 +3,23 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
-#include <cmath>
 
-#include "state/key_value_client.h"
+#include "leader/leader_options.h"
 
 namespace deckhall {
 namespace {
 
-constexpr double kPageFillShare = 0.85;
-// Hints are written so much less often than the work that is left.
-constexpr double kHintsPerProgressSave = 3;
-// Passes are this far apart for each machine, so that their cost has a bound.
-constexpr double kPlacementGapSeconds = 0.02;
-constexpr double kPlacementGapPerMachineSeconds = 80e-6;
-constexpr double kMaxPlacementGapSeconds = 0.2;
-constexpr int kMaxLoadAttempts = 4;
+constexpr double kLoadRetrySeconds = 0.2;
+// With unreadable pages the records are loaded anew: the response alone may have been corrupt.
+constexpr int kMaxLoadsWithUnreadablePages = 4;
+// Two records of hints share a page.
+constexpr size_t kHintRecordsPerPage = 2;
 constexpr double kLivenessCheckIntervalSeconds = 0.25;
-
-RecordStoreLimits StoreLimitsFrom(const Settings& settings) {
-  RecordStoreLimits l;
-  // What is announced may come at any time: everything is kept within it from the start.
-  l.max_value_bytes = static_cast<size_t>(settings.effective_state_limits.value_kb * 1024);
-  l.fill_bytes =
-      static_cast<size_t>(settings.effective_state_limits.value_kb * 1024 * kPageFillShare);
-  l.current_max_value_bytes = static_cast<size_t>(settings.current_state_limits.value_kb * 1024);
-  l.max_transaction_ops = static_cast<size_t>(std::max(1, settings.effective_state_limits.txn_ops));
-  l.write_burst = WriteBurst(settings.effective_state_limits.write_rps);
-  return l;
-}
-
-FleetOptions FleetOptionsFrom(const Settings& settings) {
-  FleetOptions o;
-  o.lease_s = settings.lease_s;
-  o.former_leader_grace_s = GracePeriodSeconds(settings);
-  o.wall_clock_bound_s = settings.wall_clock_bound_ms / 1000;
-  return o;
-}
-
-ProvisionerOptions ProvisionerOptionsFrom(const Settings& settings) {
-  ProvisionerOptions o;
-  o.list_lag_s = settings.cloud_lag_s;
-  o.list_interval_s = std::clamp(4 / settings.cloud_rps, 2.0, 10.0);
-  return o;
-}
+constexpr double kMaxPlacementIntervalSeconds = 0.5;
+// The pause between placements grows with the fleet, so that their cost is bounded.
+constexpr double kMinPlacementPauseSeconds = 0.02;
+constexpr double kPlacementPausePerMachineSeconds = 80e-6;
+constexpr double kMaxPlacementPauseSeconds = 0.2;
 
 }  // namespace
 
@@ -55,15 +29,15 @@
       settings_(settings),
       tuning_(tuning),
       term_(term),
-      record_store_(ports.key_value_store, ports.clock, StoreLimitsFrom(*settings), leader_key,
-                    term),
+      record_store_(ports.key_value_store, ports.clock, RecordStoreLimitsFrom(*settings),
+                    leader_key, term),
       job_store_(&record_store_),
       fleet_(&job_store_, ports.clock, term, FleetOptionsFrom(*settings)),
       provisioner_(ports.cloud, &record_store_, &fleet_, &job_store_, ports.clock, term,
                    ProvisionerOptionsFrom(*settings)),
-      // Two rows of hints share a page.
-      hints_(&record_store_, &job_store_, &fleet_,
-             StoreLimitsFrom(*settings).fill_bytes / 2 - kPageOverheadBytes),
+      cache_hints_(
+          &record_store_, &job_store_, &fleet_,
+          RecordStoreLimitsFrom(*settings).fill_bytes / kHintRecordsPerPage - kPageOverheadBytes),
       free_capacity_(&job_store_, &fleet_, &provisioner_, &record_store_, ports.clock, settings,
                      tuning),
       ranking_(&job_store_, &free_capacity_, ports.clock, tuning),
@@ -85,98 +59,137 @@
                             .admission_control = &admission_control_,
                             .lease = ports.lease,
                             .clock = ports.clock}),
-      command_budget_(
-          MessagesPerSecond(*settings, *tuning) * tuning->command_share,
-          std::max(20.0, MessagesPerSecond(*settings, *tuning) * tuning->command_share / 4)),
-      probe_budget_(
-          MessagesPerSecond(*settings, *tuning) * tuning->probe_share,
-          std::max(20.0, MessagesPerSecond(*settings, *tuning) * tuning->probe_share * 2)) {
-  for (const std::string& z : settings->zones) job_store_.zones.Add(z);
-  for (const Team& candidate : settings->teams) job_store_.teams.Add(candidate.name);
+      ended_job_collector_(&job_store_, ports.clock, settings),
+      progress_saver_(&job_store_, &cache_hints_, tuning),
+      heartbeat_validator_(&job_store_, &fleet_, ports.lease, ports.clock, term,
+                           [this](const char* reason) { LoseLeadership(reason); }),
+      lease_expiry_bounds_(&record_store_, &fleet_, &provisioner_, ports.clock),
+      heartbeat_handler_({.fleet = &fleet_,
+                          .provisioner = &provisioner_,
+                          .heartbeat_validator = &heartbeat_validator_,
+                          .lease_expiry_bounds = &lease_expiry_bounds_,
+                          .lease = ports.lease,
+                          .clock = ports.clock,
+                          .settings = settings,
+                          .tuning = tuning,
+                          .term = term,
+                          .no_later_term_since = ports.no_later_term_since}),
+      partition_detector_({.job_store = &job_store_,
+                           .fleet = &fleet_,
+                           .free_capacity = &free_capacity_,
+                           .lease_expiry_bounds = &lease_expiry_bounds_,
+                           .clock = ports.clock,
+                           .settings = settings,
+                           .is_zone_suspected = ports.is_zone_suspected}),
+      reachability_monitor_(&partition_detector_, ports.clock),
+      failure_detector_({.job_store = &job_store_,
+                         .fleet = &fleet_,
+                         .provisioner = &provisioner_,
+                         .heartbeat_validator = &heartbeat_validator_,
+                         .partition_detector = &partition_detector_,
+                         .reachability_monitor = &reachability_monitor_,
+                         .workers = ports.workers,
+                         .clock = ports.clock,
+                         .settings = settings,
+                         .tuning = tuning,
+                         .former_leader_zone = ports.former_leader_zone}),
+      command_dispatcher_({.fleet = &fleet_,
+                           .provisioner = &provisioner_,
+                           .heartbeat_validator = &heartbeat_validator_,
+                           .lease_expiry_bounds = &lease_expiry_bounds_,
+                           .reachability_monitor = &reachability_monitor_,
+                           .workers = ports.workers,
+                           .lease = ports.lease,
+                           .clock = ports.clock},
+                          *settings, *tuning),
+      attempt_exit_handler_(&job_store_, &fleet_, &gang_supervisor_, &ranking_, ports.clock),
+      failover_reconciler_(&job_store_, &fleet_),
+      preemption_notice_handler_(&job_store_, &fleet_, &gang_supervisor_, &ranking_, ports.clock) {
+  for (const std::string& zone : settings->zones) job_store_.zones.Add(zone);
+  for (const Team& team : settings->teams) job_store_.teams.Add(team.name);
+  ConnectCallbacks();
+}
+
+void Leader::ConnectCallbacks() {
   record_store_.on_commit = [this] { job_request_handler_.HandleCommit(); };
-  record_store_.on_leadership_lost = [this] {
-    if (on_leadership_lost) on_leadership_lost("a write met another term");
-  };
+  record_store_.on_leadership_lost = [this] { LoseLeadership("a write met another term"); };
   fleet_.on_attempt_exited = [this](MachineIndex machine_index, const TaskAttempt& attempt) {
-    HandleAttemptExit(machine_index, attempt);
+    attempt_exit_handler_.HandleAttemptExit(machine_index, attempt);
   };
-  fleet_.on_machine_reconciled = [this] { release_unreconciled_ = true; };
+  fleet_.on_machine_reconciled = [this] { failover_reconciler_.RequestRelease(); };
   fleet_.observer = &ledger_;
   job_store_.on_lifecycle_change = [this](JobIndex job_index) { ledger_.JobChanged(job_index); };
   placer_.on_refreshed = [this] { drainer_.PlaceReplacements(); };
 }
 
+void Leader::LoseLeadership(const char* reason) {
+  if (on_leadership_lost) on_leadership_lost(reason);
+}
+
 void Leader::Start() {
-  term_began_at_ = ports_.clock->Now();
+  const double now = ports_.clock->Now();
+  partition_detector_.Start(now);
+  failure_detector_.Start(now);
   Load();
 }
 
 void Leader::Load() {
-  loading_ = true;
-  record_store_.Load([this](bool ok, const std::vector<std::pair<RecordId, std::string>>& rows) {
-    loading_ = false;
+  load_.in_flight = true;
+  record_store_.Load([this](bool ok, const std::vector<std::pair<RecordId, std::string>>& records) {
+    load_.in_flight = false;
     if (retired_) return;
-    if (!ok) {
-      load_not_before_ = ports_.clock->Now() + 0.2;
-      return;
-    }
-    if (record_store_.unreadable_pages() > 0 && ++load_attempts_ < kMaxLoadAttempts) {
-      // Perhaps it was only the answer.
-      load_not_before_ = ports_.clock->Now() + 0.2;
+    const bool try_again = !ok || (record_store_.unreadable_pages() > 0 &&
+                                   ++load_.unreadable_loads < kMaxLoadsWithUnreadablePages);
+    if (try_again) {
+      load_.next_at = ports_.clock->Now() + kLoadRetrySeconds;
       return;
     }
-    HandleLoadedRecords(rows);
+    HandleLoadedRecords(records);
   });
 }
 
-void Leader::HandleLoadedRecords(const std::vector<std::pair<RecordId, std::string>>& rows) {
-  for (const auto& [id, text] : rows) {
-    if (provisioner_.LoadRecord(id, text) || hints_.LoadRecord(id, text) ||
-        drainer_.LoadRecord(id, text)) {
-      continue;
-    }
-    if (!job_store_.LoadRecord(id, text)) spdlog::error("a stored row is not understood: {}", text);
+void Leader::HandleLoadedRecords(const std::vector<std::pair<RecordId, std::string>>& records) {
+  for (const auto& [record_id, text] : records) {
+    const bool known =
+        provisioner_.LoadRecord(record_id, text) || cache_hints_.LoadRecord(record_id, text) ||
+        drainer_.LoadRecord(record_id, text) || job_store_.LoadRecord(record_id, text);
+    if (!known) spdlog::error("term={}: unknown record ignored: {}", term_, text);
   }
   const double now = ports_.clock->Now();
   job_store_.FinishLoad(now, ports_.clock->Wall());
-  hints_.FinishLoad();
+  cache_hints_.FinishLoad();
   drainer_.FinishLoad();
   record_store_.SplitLargePages();
+  RestoreRemainingWork();
+  for (MachineIndex machine_index : fleet_.active()) fleet_.MarkChanged(machine_index);
+  loaded_ = true;
+  failover_reconciler_.RequestRelease();
+  ApplyDisruptionPolicy(policy_, policy_confirmed_);
+  progress_saver_.Start(now);
+  provisioner_.Start();
+  spdlog::info("term={} active_jobs={} unreconciled_machines={} records={}: records loaded", term_,
+               job_store_.active_jobs().size(), fleet_.CountUnreconciled(), records.size());
+  Tick();
+}
+
+void Leader::RestoreRemainingWork() {
   for (JobIndex job_index : job_store_.active_jobs()) {
     Job& job = job_store_[job_index];
     job.remaining_core_seconds = job.stored_remaining_core_seconds >= 0
                                      ? job.stored_remaining_core_seconds
                                      : ranking_.RemainingCoreSeconds(job);
   }
-  for (MachineIndex machine_index : fleet_.active()) fleet_.MarkChanged(machine_index);
-  loaded_ = release_unreconciled_ = true;
-  ApplyDisruptionPolicy(policy_, policy_confirmed_);
-  next_save_ = now + tuning_->progress_save_s;
-  next_hints_ = now + kHintsPerProgressSave * tuning_->progress_save_s;
-  provisioner_.Start();
-  spdlog::info("term {}: {} live jobs, {} machines to account for, {} rows", term_,
-               job_store_.active_jobs().size(), fleet_.CountUnreconciled(), rows.size());
-  Tick();
 }
 
 void Leader::ApplyDisruptionPolicy(std::shared_ptr<const DisruptionPolicy> policy, bool confirmed) {
   policy_ = std::move(policy);
   policy_confirmed_ = confirmed;
-  // Drains go on from their rows, and replicas are counted from what is stored.
+  // Drains resume from their records, and replicas are counted from the records.
   if (!loaded_) return;
   ledger_.ApplyPolicy(policy_, confirmed);
   drainer_.ApplyPolicy(policy_, confirmed);
 }
 
-double Leader::HeartbeatGraceEnd() const {
-  // Counted from when the last good renewal was sent, or from when all others
-  // last said that they know of no later term: in an outage of the state service
-  // that reaches everybody, nobody can follow us, and tasks stay up.
-  double since = ports_.lease->LeaseValidUntil() - tuning_->lease_ms / 1000.0;
-  if (ports_.no_later_term_since) since = std::max(since, ports_.no_later_term_since(term_));
-  return since + GracePeriodSeconds(*settings_);
-}
-
 void Leader::HandleJobRequest(const JobRequest& request, JobResponseCallback done) {
   if (!loaded_) {
     done(UnavailableResponse("taking over"));
@@ -185,35 +198,16 @@
   job_request_handler_.HandleJobRequest(request, std::move(done));
 }
 
-void Leader::SaveRankingProgress() {
-  for (JobIndex job_index : job_store_.active_jobs()) {
-    Job& job = job_store_[job_index];
-    if (job.spec.service || !job.acknowledged) continue;
-    if (job.stored_remaining_core_seconds >= 0 &&
-        std::abs(job.remaining_core_seconds - job.stored_remaining_core_seconds) <
-            0.1 * job.stored_remaining_core_seconds + 1) {
-      continue;
-    }
-    job.stored_remaining_core_seconds = job.remaining_core_seconds;
-    job_store_.Save(job_index, WritePriority::kBackground);
-  }
-}
-
-void Leader::CollectEndedJobs() {
-  const double now = ports_.clock->Now();
-  const double keep = settings_->cancel_s + settings_->lease_s + GracePeriodSeconds(*settings_);
-  const std::vector<JobIndex> ended_jobs = job_store_.ended_jobs();
-  for (JobIndex job_index : ended_jobs) {
-    Job& job = job_store_[job_index];
-    if (now - job.ended_at < keep || job.tasks_unreconciled > 0 || !job.end_acknowledged) continue;
-    if (job.attempt_count == 0) job_store_.DropSpec(job_index);
-  }
+HeartbeatResponse Leader::HandleHeartbeat(const Heartbeat& heartbeat) {
+  return heartbeat_handler_.HandleHeartbeat(heartbeat, loaded_);
 }
 
 void Leader::Retire() {
   retired_ = true;
   loaded_ = false;
   record_store_.Stop();
+  failure_detector_.Stop();
+  command_dispatcher_.Stop();
   job_request_handler_.FailPending("another node leads");
 }
 
@@ -221,51 +215,64 @@
   const double now = ports_.clock->Now();
   if (retired_) return;
   if (!loaded_) {
-    if (!loading_ && now >= load_not_before_) Load();
+    if (!load_.in_flight && now >= load_.next_at) Load();
     return;
   }
-  const bool trusted = ports_.lease->IsLeaseValid();
-  if (!trusted) {
-    // What can't be made durable now is answered now; the user comes again.
+  if (!ports_.lease->IsLeaseValid()) {
+    // No change can become durable now: users are told to retry.
     job_request_handler_.FailPending("the state service does not answer");
     record_store_.Flush();
     return;
   }
-  if (now >= next_liveness_check_) {
-    next_liveness_check_ = now + kLivenessCheckIntervalSeconds;
+  RunSchedulingLoop(now);
+}
+
+void Leader::RunSchedulingLoop(double now) {
+  if (now >= due_.liveness_check) {
+    due_.liveness_check = now + kLivenessCheckIntervalSeconds;
     CheckLiveness();
   }
-  if (release_unreconciled_ && now >= next_release_) {
-    release_unreconciled_ = false;
-    next_release_ = now + 0.1;
-    ReleaseUnreconciledTasks();
-  }
-  // Changes are gathered for a moment, the longer the larger the fleet.
-  const auto machines = static_cast<double>(fleet_.active().size());
-  if ((fleet_.placement_needed && now >= placement_not_before_) || now >= next_placement_) {
-    fleet_.placement_needed = false;
-    next_placement_ = now + 0.5;
-    placement_not_before_ =
-        now + std::min(kMaxPlacementGapSeconds,
-                       kPlacementGapSeconds + kPlacementGapPerMachineSeconds * machines);
-    placer_.PlaceWaitingTasks();
-  }
-  MachineIndex changed = 0;
-  while (command_budget_.Level(now) >= 1 && fleet_.PopChanged(&changed)) PushCommands(changed);
-  if (now >= next_plan_) {
-    next_plan_ = now + tuning_->autoscale_interval_s;
+  failover_reconciler_.ReleaseIfRequested(now);
+  PlaceTasksIfDue(now);
+  command_dispatcher_.PushPendingCommands(now);
+  if (now >= due_.autoscaling) {
+    due_.autoscaling = now + tuning_->autoscale_interval_s;
     autoscaler_.Plan();
   }
   provisioner_.Tick(true);
-  if (now >= next_save_) {
-    next_save_ = now + tuning_->progress_save_s;
-    SaveRankingProgress();
-  }
-  if (now >= next_hints_) {
-    next_hints_ = now + kHintsPerProgressSave * tuning_->progress_save_s;
-    hints_.Save();
-  }
+  progress_saver_.SaveIfDue(now);
   record_store_.Flush();
 }
 
+void Leader::CheckLiveness() {
+  const double now = ports_.clock->Now();
+  partition_detector_.DetectPartitions();
+  failure_detector_.AssessFleet(now);
+  for (MachineIndex machine_index : fleet_.active()) {
+    failure_detector_.CheckMachine(machine_index);
+    preemption_notice_handler_.HandlePreemptionNotice(machine_index);
+  }
+  gang_supervisor_.CheckGangs();
+  drainer_.Tick();
+  attempt_exit_handler_.ClearFailuresOfProvenServices();
+  ended_job_collector_.CollectEndedJobs();
+}
+
+void Leader::PlaceTasksIfDue(double now) {
+  const bool changes_due = fleet_.placement_needed && now >= due_.placement_not_before;
+  if (!changes_due && now < due_.placement) return;
+  fleet_.placement_needed = false;
+  due_.placement = now + kMaxPlacementIntervalSeconds;
+  const auto machines = static_cast<double>(fleet_.active().size());
+  due_.placement_not_before =
+      now + std::min(kMaxPlacementPauseSeconds,
+                     kMinPlacementPauseSeconds + kPlacementPausePerMachineSeconds * machines);
+  placer_.PlaceWaitingTasks();
+}
+
+uint64_t Leader::work_units() const {
+  return free_capacity_.work_units + failure_detector_.work_units() +
+         command_dispatcher_.work_units();
+}
+
 }  // namespace deckhall
--- /dev/null
+++ b/src/leader/partition_detector.cc
@@ -0,0 +1,125 @@
+#include "leader/partition_detector.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <utility>
+
+#include "leader/leader_timing.h"
+
+namespace deckhall {
+namespace {
+
+// The window in which heartbeats are counted, as a share of the heartbeat interval.
+constexpr double kWindowIntervalShare = 0.6;
+// A partition begins below the first share of a zone's machines, and ends from the second on.
+constexpr double kPartitionBeginsShare = 0.05;
+constexpr double kPartitionEndsShare = 0.2;
+constexpr size_t kMinZoneMachines = 6;
+// With fewer machines, or without controllers in the zone, all machines may happen to be between
+// two heartbeats: then they count as missing only when overdue.
+constexpr size_t kMinZoneMachinesForWindow = 20;
+// A new leader lets this much time pass beyond the window before it judges.
+constexpr double kStartMarginSeconds = 1;
+
+}  // namespace
+
+PartitionDetector::PartitionDetector(Dependencies dependencies) : deps_(std::move(dependencies)) {}
+
+double PartitionDetector::WindowSeconds() const {
+  return deps_.settings->heartbeat_interval_s * kWindowIntervalShare;
+}
+
+bool PartitionDetector::IsSuspected(const std::string& zone) const {
+  return deps_.is_zone_suspected && deps_.is_zone_suspected(zone);
+}
+
+bool PartitionDetector::IsZoneSuspected(const Machine& machine) const {
+  return machine.zone != kNoIndex && IsSuspected(deps_.job_store->zones[machine.zone]);
+}
+
+bool PartitionDetector::HasControllers(const std::string& zone) const {
+  const std::vector<Peer>& siblings = deps_.settings->siblings;
+  return std::any_of(siblings.begin(), siblings.end(),
+                     [&zone](const Peer& peer) { return peer.site == zone; });
+}
+
+void PartitionDetector::DetectPartitions() {
+  const double now = deps_.clock->Now();
+  const std::vector<ZoneCounts> counts = CountZones(now);
+  partitioned_zones_.resize(counts.size(), 0);
+  const std::vector<char> before = partitioned_zones_;
+  for (uint32_t zone = 0; zone < partitioned_zones_.size(); ++zone) {
+    partitioned_zones_[zone] = UpdateZone(zone, counts[zone], now) ? 1 : 0;
+  }
+  deps_.free_capacity->SetPartitionedZones(partitioned_zones_);
+  UpdateMachines(now);
+  for (uint32_t zone = 0; zone < partitioned_zones_.size(); ++zone) {
+    const bool healed = partitioned_zones_[zone] == 0 && before[zone] != 0;
+    if (healed) deps_.lease_expiry_bounds->WithdrawBounds(zone);
+  }
+}
+
+std::vector<PartitionDetector::ZoneCounts> PartitionDetector::CountZones(double now) const {
+  const double window_seconds = WindowSeconds();
+  const double overdue_seconds = HeartbeatOverdueSeconds(*deps_.settings);
+  std::vector<ZoneCounts> counts(deps_.job_store->zones.size());
+  for (MachineIndex machine_index : deps_.fleet->active()) {
+    const Machine& machine = (*deps_.fleet)[machine_index];
+    // The endpoint is known of machines that ever sent a heartbeat, under whichever leader.
+    if (machine.zone == kNoIndex || machine.scaling_in || machine.endpoint.empty()) continue;
+    ZoneCounts& zone = counts[machine.zone];
+    const double silent_seconds = now - machine.last_heard_at;
+    ++zone.known;
+    if (silent_seconds < window_seconds) ++zone.heard_in_window;
+    if (silent_seconds < overdue_seconds) ++zone.heard_in_time;
+  }
+  return counts;
+}
+
+bool PartitionDetector::UpdateZone(uint32_t zone, const ZoneCounts& counts, double now) const {
+  const std::string& name = deps_.job_store->zones[zone];
+  const bool was_partitioned = partitioned_zones_[zone] != 0;
+  const bool has_controllers = HasControllers(name);
+  const bool controllers_reachable = has_controllers && !IsSuspected(name);
+  const bool by_window = has_controllers && counts.known >= kMinZoneMachinesForWindow;
+  const size_t heard = by_window ? counts.heard_in_window : counts.heard_in_time;
+  const double heard_limit = static_cast<double>(counts.known) *
+                             (was_partitioned ? kPartitionEndsShare : kPartitionBeginsShare);
+  bool is_partitioned = false;
+  if (name == deps_.settings->site || counts.known < kMinZoneMachines) {
+    is_partitioned = false;
+  } else if (!was_partitioned) {
+    const double wait_seconds =
+        (by_window ? WindowSeconds() : HeartbeatOverdueSeconds(*deps_.settings)) +
+        kStartMarginSeconds;
+    is_partitioned = now - term_began_at_ > wait_seconds && !controllers_reachable &&
+                     static_cast<double>(heard) < heard_limit;
+  } else {
+    is_partitioned = static_cast<double>(heard) < heard_limit;
+  }
+  if (was_partitioned && !is_partitioned) {
+    spdlog::info("zone={} machines_heard={} machines={}: partition ended", name, heard,
+                 counts.known);
+  } else if (!was_partitioned && is_partitioned) {
+    spdlog::warn("zone={} machines_heard={} machines={}: partitioned; waiting for lease expiry",
+                 name, heard, counts.known);
+  }
+  return is_partitioned;
+}
+
+void PartitionDetector::UpdateMachines(double now) {
+  const double window_seconds = WindowSeconds();
+  for (MachineIndex machine_index : deps_.fleet->active()) {
+    Machine& machine = (*deps_.fleet)[machine_index];
+    const bool is_partitioned = machine.zone != kNoIndex && partitioned_zones_[machine.zone] != 0 &&
+                                now - machine.last_heard_at >= window_seconds;
+    if (is_partitioned != machine.partitioned) machine.capacity_stale = true;
+    if (is_partitioned && !machine.partitioned) {
+      deps_.lease_expiry_bounds->RecordBound(machine_index);
+    }
+    machine.partitioned = is_partitioned;
+  }
+}
+
+}  // namespace deckhall
--- /dev/null
+++ b/src/leader/reachability_monitor.cc
@@ -0,0 +1,68 @@
+#include "leader/reachability_monitor.h"
+
+#include <spdlog/spdlog.h>
+
+namespace deckhall {
+namespace {
+
+// A smaller fleet, or fewer outcomes, may fail together by chance.
+constexpr size_t kMinMachinesToJudge = 6;
+constexpr double kMinTimeoutsToJudge = 12;
+constexpr double kOutcomeDecay = 0.5;
+// The workers are lost with fewer responses per timeout than this, or with none for so long.
+constexpr double kFewResponsesShare = 0.1;
+constexpr double kNoResponseSeconds = 1;
+constexpr double kMostlySilentShare = 0.3;
+constexpr double kMajorityShare = 0.5;
+
+}  // namespace
+
+void ReachabilityMonitor::RecordOutcome(const Machine& machine, bool responded) {
+  if (responded) {
+    recent_.responses += 1;
+    recent_.consecutive_timeouts = 0;
+    recent_.last_response_at = clock_->Now();
+  } else if (machine.probe_failures == 0 && machine.command_failures == 0 &&
+             !partition_detector_->IsZoneSuspected(machine)) {
+    recent_.timeouts += 1;
+    ++recent_.consecutive_timeouts;
+  }
+}
+
+bool ReachabilityMonitor::HasLostWorkers(const FleetHealth& health, double now) const {
+  if (health.up < kMinMachinesToJudge) return false;
+  const bool few_responses = recent_.timeouts > kMinTimeoutsToJudge &&
+                             recent_.responses < recent_.timeouts * kFewResponsesShare;
+  const bool no_response = recent_.consecutive_timeouts > kMinTimeoutsToJudge &&
+                           now - recent_.last_response_at > kNoResponseSeconds;
+  return few_responses || no_response;
+}
+
+void ReachabilityMonitor::Update(const FleetHealth& health, double now) {
+  recent_.responses *= kOutcomeDecay;
+  recent_.timeouts *= kOutcomeDecay;
+  const bool lost_workers = HasLostWorkers(health, now);
+  const auto up = static_cast<double>(health.up);
+  const auto unreconciled = static_cast<double>(health.unreconciled);
+  // After a failover heartbeats may arrive later than single machines are given.
+  const bool mostly_unreconciled = health.unreconciled >= kMinMachinesToJudge &&
+                                   unreconciled > (unreconciled + up) * kMajorityShare;
+  const bool many_silent = health.up >= kMinMachinesToJudge &&
+                           static_cast<double>(health.silent) > up * kMostlySilentShare;
+  const bool mostly_one_way =
+      health.up >= kMinMachinesToJudge && static_cast<double>(health.one_way) > up * kMajorityShare;
+  fleet_mostly_silent_ = lost_workers || mostly_unreconciled || many_silent;
+  if (!lost_workers && !mostly_one_way) {
+    unreachable_since_ = -1;
+  } else if (unreachable_since_ < 0) {
+    unreachable_since_ = now;
+    spdlog::warn("one_way_machines={} machines_up={}: most machines don't respond to this node",
+                 health.one_way, health.up);
+  }
+}
+
+double ReachabilityMonitor::UnreachableSeconds() const {
+  return unreachable_since_ < 0 ? 0 : clock_->Now() - unreachable_since_;
+}
+
+}  // namespace deckhall
