--- a/tests/drain_policy_test.cc
+++ b/tests/drain_policy_test.cc
@@ -1,7 +1,9 @@
 // The disruption file: what it says, and what is refused.
 #include <gtest/gtest.h>
+#include <unistd.h>
 
 #include <fstream>
+#include <string>
 
 #include "app/drains_command.h"
 #include "app/policy_file.h"
@@ -133,7 +135,10 @@
 
 class PolicyFileTest : public ::testing::Test {
  protected:
-  void SetUp() override { path_ = ::testing::TempDir() + "disruption.sexp"; }
+  // Test processes may run side by side.
+  void SetUp() override {
+    path_ = ::testing::TempDir() + "disruption-" + std::to_string(getpid()) + ".sexp";
+  }
   void Write(const std::string& text) {
     std::ofstream(path_) << text;
     // Files written within one step of the file system's clock would look the same.
