--- a/src/fleet/fencing.h
+++ b/src/fleet/fencing.h
@@ -5,7 +5,6 @@
 // of a later term are always higher.
 #pragma once
 
-#include <compare>
 #include <cstdint>
 
 #include "model/machine.h"
@@ -21,12 +20,15 @@
 // The lowest fencing token of a term.
 inline uint64_t FirstTokenOf(uint64_t term) { return term << kTermShift; }
 
-// Orders the heartbeats and responses of one agent: the larger one is newer.
+// Orders the heartbeats and responses of one agent.
 struct HeartbeatVersion {
   uint64_t agent_epoch = 0;
   uint64_t sequence = 0;
 
-  auto operator<=>(const HeartbeatVersion&) const = default;
+  bool IsNewerThan(const HeartbeatVersion& other) const {
+    if (agent_epoch != other.agent_epoch) return agent_epoch > other.agent_epoch;
+    return sequence > other.sequence;
+  }
 };
 
 // Whether the agent has shown the token its next commands would carry. It then receives what is
--- a/src/fleet/heartbeat_applier.cc
+++ b/src/fleet/heartbeat_applier.cc
@@ -33,7 +33,7 @@
 
 bool HeartbeatApplier::ApplyHeartbeat(MachineIndex machine_index, const Heartbeat& heartbeat) {
   Machine& machine = (*machines_)[machine_index];
-  if (VersionOf(heartbeat) <= VersionOf(machine)) {
+  if (!VersionOf(heartbeat).IsNewerThan(VersionOf(machine))) {
     if (IsSuspicious(machine, heartbeat)) machine.suspected = true;
     return false;
   }
@@ -112,7 +112,8 @@
   machine.suspected = false;
   machine.probe_failures = 0;
   // Without a restart the response would be newer than everything received before the probe.
-  const bool has_restarted = VersionOf(heartbeat) <= version_at_probe && heartbeat.sequence > 0;
+  const bool has_restarted =
+      !VersionOf(heartbeat).IsNewerThan(version_at_probe) && heartbeat.sequence > 0;
   if (has_restarted) HandleAgentRestart(machine_index, heartbeat);
   ApplyHeartbeat(machine_index, heartbeat);
 }
--- a/src/fleet/lease_expiry.cc
+++ b/src/fleet/lease_expiry.cc
@@ -5,7 +5,7 @@
 namespace deckhall {
 namespace {
 
-// The time an agent may take to notice that its lease has expired.
+// Safety margin for delays within the agent.
 constexpr double kExpiryMarginSeconds = 0.5;
 
 }  // namespace
--- a/src/model/machine.h
+++ b/src/model/machine.h
@@ -28,19 +28,19 @@
   std::string endpoint;      // host:port of its agent
   uint32_t type = kNoIndex;  // in JobStore::types
   uint32_t zone = kNoIndex;  // in JobStore::zones
-  bool spot = false;
   RecordId record_id = kNoRecord;
+  bool spot = false;
 
   // Lifecycle.
-  bool registered = false;  // named by a stored record, the cloud or a scale-out request
-  bool up = false;          // sent a heartbeat
-  bool removed = false;
-  bool scaling_in = false;   // to be returned to the cloud
-  bool return_sent = false;  // the cloud was asked to take it back
+  double provisioned_at_wall = 0;
   double discovered_at = 0;  // first known in this term
   double up_at = -1;         // first heartbeat; negative: none
   double idle_since = -1;    // negative: not idle
-  double provisioned_at_wall = 0;
+  bool registered = false;   // named by a stored record, the cloud or a scale-out request
+  bool up = false;           // sent a heartbeat
+  bool removed = false;
+  bool scaling_in = false;   // to be returned to the cloud
+  bool return_sent = false;  // the cloud was asked to take it back
 
   // Failover reconciliation.
   bool reconciled = false;               // every attempt that can be on it is known
@@ -54,12 +54,12 @@
   bool suspected = false;           // sent a heartbeat that contradicts its history: probe it soon
 
   // Liveness: heartbeats received, and how the agent is reached from here.
+  bool partitioned = false;            // silent, in a zone that is cut off: probably alive
+  int unreachable_count = 0;           // probes without response since last_acknowledged_at
+  double unreachable_since = -1;       // the first of them; negative: none
   double last_heard_at = -1e9;         // last heartbeat or response
   double lease_renewed_at = -1e9;      // last heartbeat answered with 200
   double last_acknowledged_at = -1e9;  // last proof that it receives what is sent to it
-  double unreachable_since = -1;       // first probe without response since then; negative: none
-  int unreachable_count = 0;           // probes without response since then
-  bool partitioned = false;  // without heartbeats, in a zone that is cut off: probably alive
 
   // Bound on lease expiry: no heartbeat was answered since this time of day; negative: not
   // stated. It is in the record, so that a later leader knows when the lease ends; heartbeats
@@ -69,12 +69,12 @@
 
   // Direct commands and probes.
   bool command_in_flight = false;
+  bool probe_in_flight = false;
+  bool queued_for_update = false;    // in the queue of changed machines, see Fleet::PopChanged
   int command_failures = 0;          // in a row
+  int probe_failures = 0;            // in a row
   double command_backoff_until = 0;  // no direct command before
-  bool probe_in_flight = false;
-  int probe_failures = 0;  // in a row
-  double probe_backoff_until = 0;
-  bool queued_for_update = false;  // in the queue of changed machines, see Fleet::PopChanged
+  double probe_backoff_until = 0;    // no probe before
 
   // Scheduling constraints.
   bool unschedulable = false;        // gets no new tasks
@@ -86,8 +86,8 @@
   double preemption_at = -1;   // the cloud takes the spot machine away; negative: no notice
   double no_room_until = 0;    // an attempt was refused for lack of room: none before
   double quarantined_until = 0;
-  int quarantine_count = 0;
-  int task_failures = 0;  // since the last success on it
+  int quarantine_count = 0;  // since the last success on it
+  int task_failures = 0;     // since the last success or quarantine
 
   // Capacity.
   bool capacity_stale = true;           // FreeCapacity has to read it again
