--- a/src/state/job_store.cc
+++ b/src/state/job_store.cc
@@ -1,37 +1,10 @@
 #include "state/job_store.h"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
-
-#include "wire/job_codec.h"
+#include <utility>
+#include <variant>
 
 namespace deckhall {
-namespace {
-
-// Finished tasks are bits; so many of them go into one row.
-constexpr uint32_t kTasksPerChunk = 4096;
-constexpr size_t kChunkReserveBytes = kTasksPerChunk / 4 + 60;
-// What the other fields of a row may grow by.
-constexpr size_t kRecordGrowthBytes = 24;
-
-uint32_t ChunkCount(uint32_t tasks) { return (tasks + kTasksPerChunk - 1) / kTasksPerChunk; }
-
-std::string EncodeDoneBits(const std::vector<Task>& tasks, uint32_t from, uint32_t to) {
-  static const char* const kDigits = "0123456789abcdef";
-  std::string out;
-  for (uint32_t i = from; i < to; i += 4) {
-    unsigned v = 0;
-    for (uint32_t b = 0; b < 4 && i + b < to; ++b) {
-      if (tasks[i + b].phase == TaskPhase::kDone) v |= 1U << b;
-    }
-    out += kDigits[v];
-  }
-  while (!out.empty() && out.back() == '0') out.pop_back();
-  return out;
-}
-
-}  // namespace
 
 JobIndex JobStore::Find(const std::string& id) const {
   auto it = index_.find(id);
@@ -47,113 +20,110 @@
   if (job.spec.allowed_types) {
     job.allowed_types.assign(1, 0);
     for (const std::string& name : *job.spec.allowed_types) {
-      const uint32_t t = types.Add(name);
-      if (t >= job.allowed_types.size()) job.allowed_types.resize(t + 1, 0);
-      job.allowed_types[t] = 1;
+      const uint32_t type_index = types.Add(name);
+      if (type_index >= job.allowed_types.size()) job.allowed_types.resize(type_index + 1, 0);
+      job.allowed_types[type_index] = 1;
     }
   }
   job.tasks.resize(job.spec.task_count);
 }
 
 bool JobStore::LoadRecord(RecordId record_id, const std::string& text) {
-  rapidjson::Document doc;
-  if (!ParseJson(text, &doc) || !doc.IsObject()) return false;
-  std::string id;
-  std::string state;
-  if (JsonString(doc, "b", &id)) {
-    DoneTasksChunk bits;
-    uint64_t part = 0;
-    bits.job_id = id;
-    bits.record_id = record_id;
-    JsonU64(doc, "p", &part);
-    bits.part = static_cast<uint32_t>(part);
-    JsonString(doc, "d", &bits.hex);
-    loaded_chunks_.push_back(std::move(bits));
-    return true;
+  std::optional<DecodedJobRecord> decoded = DecodeJobRecord(text);
+  if (!decoded) return false;
+  if (auto* chunk = std::get_if<DoneTasksChunk>(&*decoded)) {
+    loaded_chunks_.push_back({std::move(*chunk), record_id});
+  } else {
+    AddLoadedJob(record_id, std::get<JobRecord>(std::move(*decoded)));
   }
+  return true;
+}
+
+void JobStore::AddLoadedJob(RecordId record_id, JobRecord record) {
   Job job;
   job.record_id = record_id;
-  job.acknowledged = job.accepted_in_earlier_term = true;
-  JsonString(doc, "s", &state);
-  job.lifecycle = state == "d"   ? JobLifecycle::kDone
-                  : state == "c" ? JobLifecycle::kCancelled
-                                 : JobLifecycle::kActive;
+  job.id = std::move(record.job_id);
+  job.acknowledged = true;
+  job.accepted_in_earlier_term = true;
+  job.lifecycle = record.lifecycle;
   job.end_acknowledged = job.lifecycle != JobLifecycle::kActive;
-  const JsonValue* spec = JsonMember(doc, "j");
-  if (spec != nullptr) {
-    if (!ReadJob(*spec, &job.spec).empty()) return false;
-    job.id = job.spec.id;
-    JsonNumber(doc, "t", &job.submitted_wall);
-    JsonNumber(doc, "v", &job.stored_remaining_core_seconds);
+  if (record.has_spec) {
+    job.spec = std::move(record.spec);
+    job.submitted_wall = record.submitted_wall;
+    job.stored_remaining_core_seconds = record.remaining_core_seconds;
     IndexNames(job);
-    std::string hex;
-    if (JsonString(doc, "d", &hex)) loaded_chunks_.push_back({job.id, 0, hex, kNoRecord});
-  } else if (!JsonString(doc, "x", &job.id)) {
-    return false;
+    if (!record.done_bits.empty())
+      loaded_chunks_.push_back({{job.id, 0, std::move(record.done_bits)}, kNoRecord});
   }
   index_[job.id] = static_cast<JobIndex>(jobs_.size());
   jobs_.push_back(std::move(job));
-  return true;
 }
 
 void JobStore::FinishLoad(double now, double wall) {
-  for (const DoneTasksChunk& bits : loaded_chunks_) {
-    const JobIndex job_index = Find(bits.job_id);
-    if (job_index == kNoIndex || !jobs_[job_index].has_spec) {
-      if (bits.record_id != kNoRecord) record_store_->Remove(bits.record_id);
-      continue;
-    }
-    Job& job = jobs_[job_index];
-    if (bits.part > 0) {
-      job.chunk_record_ids.resize(
-          std::max<size_t>(job.chunk_record_ids.size(), ChunkCount(job.spec.task_count) - 1),
-          kNoRecord);
-      if (bits.part <= job.chunk_record_ids.size()) {
-        job.chunk_record_ids[bits.part - 1] = bits.record_id;
-        record_store_->Reserve(bits.record_id, kChunkReserveBytes);
-      }
-    }
-    for (size_t i = 0; i < bits.hex.size(); ++i) {
-      const char c = bits.hex[i];
-      const int v = c <= '9' ? c - '0' : c - 'a' + 10;
-      for (uint32_t b = 0; b < 4; ++b) {
-        const size_t t = static_cast<size_t>(bits.part) * kTasksPerChunk + i * 4 + b;
-        if (((v >> b) & 1) != 0 && t < job.tasks.size()) job.tasks[t].phase = TaskPhase::kDone;
-      }
-    }
-  }
+  for (const LoadedChunk& chunk : loaded_chunks_) ApplyLoadedChunk(chunk);
   loaded_chunks_.clear();
   for (JobIndex job_index = 0; job_index < jobs_.size(); ++job_index) {
-    Job& job = jobs_[job_index];
-    if (!job.has_spec) continue;
-    job.tasks_done = job.tasks_unreconciled = 0;
-    for (Task& task : job.tasks) {
-      if (task.phase == TaskPhase::kDone) {
-        ++job.tasks_done;
-      } else {
-        task.phase = TaskPhase::kUnreconciled;
-        ++job.tasks_unreconciled;
-      }
-    }
-    record_store_->Reserve(job.record_id, RecordReserve(job, EncodeJobRecord(job)));
-    job.ended_at = job.lifecycle == JobLifecycle::kActive ? -1 : now;
-    job.waiting_since = now;
-    job.starved_since = now - std::max(0.0, wall - job.submitted_wall);
-    if (job.lifecycle != JobLifecycle::kActive) {
-      ended_jobs_.push_back(job_index);
-      continue;
-    }
-    active_jobs_.push_back(job_index);
-    active_task_count_ += job.tasks.size();
+    if (jobs_[job_index].has_spec) FinishLoadingJob(job_index, now, wall);
   }
   EndGangsWithDoneTask(now);
 }
 
-// A leader of an earlier version wrote only those of a gang's tasks that it had heard of;
-// they are done together, and none may start again.
+void JobStore::ApplyLoadedChunk(const LoadedChunk& chunk) {
+  const JobIndex job_index = Find(chunk.done_tasks.job_id);
+  if (job_index == kNoIndex || !jobs_[job_index].has_spec) {
+    // The job's spec was dropped, and the removal of this record was not committed.
+    if (chunk.record_id != kNoRecord) record_store_->Remove(chunk.record_id);
+    return;
+  }
+  Job& job = jobs_[job_index];
+  AttachChunkRecord(job, chunk);
+  for (size_t task_index : DecodeDoneTasks(chunk.done_tasks)) {
+    if (task_index < job.tasks.size()) job.tasks[task_index].phase = TaskPhase::kDone;
+  }
+}
+
+void JobStore::AttachChunkRecord(Job& job, const LoadedChunk& chunk) {
+  const uint32_t number = chunk.done_tasks.chunk;
+  if (number == 0) return;
+  ResizeChunkRecords(job);
+  if (number > job.chunk_record_ids.size()) return;
+  job.chunk_record_ids[number - 1] = chunk.record_id;
+  record_store_->Reserve(chunk.record_id, kChunkReserveBytes);
+}
+
+void JobStore::CountLoadedTasks(Job& job) {
+  job.tasks_done = 0;
+  job.tasks_unreconciled = 0;
+  for (Task& task : job.tasks) {
+    if (task.phase == TaskPhase::kDone) {
+      ++job.tasks_done;
+    } else {
+      task.phase = TaskPhase::kUnreconciled;
+      ++job.tasks_unreconciled;
+    }
+  }
+}
+
+void JobStore::FinishLoadingJob(JobIndex job_index, double now, double wall) {
+  Job& job = jobs_[job_index];
+  CountLoadedTasks(job);
+  record_store_->Reserve(job.record_id, JobRecordReserve(job, EncodeJobRecord(job)));
+  job.ended_at = job.lifecycle == JobLifecycle::kActive ? -1 : now;
+  job.waiting_since = now;
+  job.starved_since = now - std::max(0.0, wall - job.submitted_wall);
+  if (job.lifecycle != JobLifecycle::kActive) {
+    ended_jobs_.push_back(job_index);
+    return;
+  }
+  active_jobs_.push_back(job_index);
+  active_task_count_ += job.tasks.size();
+}
+
+// The tasks of a gang are done together, and none may start again. A leader of an earlier
+// version wrote only those of them whose completion had been reported to it.
 void JobStore::EndGangsWithDoneTask(double now) {
-  const std::vector<JobIndex> live = active_jobs_;
-  for (JobIndex job_index : live) {
+  const std::vector<JobIndex> active = active_jobs_;  // EndJob changes the list
+  for (JobIndex job_index : active) {
     if (!jobs_[job_index].spec.gang || jobs_[job_index].tasks_done == 0) continue;
     MarkAllTasksDone(job_index);
     EndJob(job_index, JobLifecycle::kDone, now);
@@ -177,79 +147,22 @@
   return job_index;
 }
 
-std::string JobStore::EncodeEndRecord(const Job& job) const {
-  rapidjson::StringBuffer buffer;
-  JsonWriter writer(buffer);
-  writer.StartObject();
-  PutString(writer, "s", job.lifecycle == JobLifecycle::kDone ? "d" : "c");
-  PutString(writer, "x", job.id);
-  writer.EndObject();
-  return {buffer.GetString(), buffer.GetSize()};
-}
-
-std::string JobStore::EncodeJobRecord(const Job& job) const {
-  if (!job.has_spec) return EncodeEndRecord(job);
-  rapidjson::StringBuffer buffer;
-  JsonWriter writer(buffer);
-  writer.SetMaxDecimalPlaces(3);
-  writer.StartObject();
-  if (job.lifecycle != JobLifecycle::kActive)
-    PutString(writer, "s", job.lifecycle == JobLifecycle::kDone ? "d" : "c");
-  writer.Key("j");
-  WriteJob(writer, job.spec);
-  writer.Key("t");
-  writer.Double(job.submitted_wall);
-  if (!job.spec.service) {
-    writer.Key("v");
-    writer.Double(job.remaining_core_seconds);
-  }
-  const std::string hex = EncodeDoneBits(
-      job.tasks, 0, std::min<uint32_t>(kTasksPerChunk, static_cast<uint32_t>(job.tasks.size())));
-  if (!hex.empty()) PutString(writer, "d", hex);
-  writer.EndObject();
-  return {buffer.GetString(), buffer.GetSize()};
-}
-
-std::string JobStore::EncodeChunkRecord(const Job& job, uint32_t part) const {
-  const auto size = static_cast<uint32_t>(job.tasks.size());
-  const std::string hex =
-      EncodeDoneBits(job.tasks, part * kTasksPerChunk, std::min(size, (part + 1) * kTasksPerChunk));
-  rapidjson::StringBuffer buffer;
-  JsonWriter writer(buffer);
-  writer.StartObject();
-  PutString(writer, "b", job.id);
-  writer.Key("p");
-  writer.Uint(part);
-  PutString(writer, "d", hex);
-  writer.EndObject();
-  return {buffer.GetString(), buffer.GetSize()};
-}
-
-size_t JobStore::RecordReserve(const Job& job, const std::string& text) const {
-  if (!job.has_spec || job.lifecycle != JobLifecycle::kActive || job.spec.service)
-    return text.size();
-  // The bits of finished tasks come to be, and numbers get longer.
-  const auto bits = std::min<uint32_t>(kTasksPerChunk, static_cast<uint32_t>(job.tasks.size()));
-  const size_t now = EncodeDoneBits(job.tasks, 0, bits).size();
-  return text.size() + (bits + 3) / 4 - now + kRecordGrowthBytes;
-}
-
 bool JobStore::FitsRecord(const JobSpec& spec) const {
   Job job;
   job.id = spec.id;
   job.spec = spec;
   job.has_spec = true;
   job.tasks.resize(std::min(spec.task_count, kTasksPerChunk));
-  return RecordReserve(job, EncodeJobRecord(job)) <= record_store_->max_record_bytes();
+  return JobRecordReserve(job, EncodeJobRecord(job)) <= record_store_->max_record_bytes();
 }
 
 void JobStore::Save(JobIndex job_index, WritePriority priority) {
   Job& job = jobs_[job_index];
   std::string text = EncodeJobRecord(job);
-  // Accepted under larger limits: its end must be kept, its description need not.
+  // The job was accepted under larger limits: its end has to be kept, its spec need not be.
   if (job.lifecycle != JobLifecycle::kActive && text.size() > record_store_->max_record_bytes())
     text = EncodeEndRecord(job);
-  const size_t reserve = RecordReserve(job, text);
+  const size_t reserve = JobRecordReserve(job, text);
   if (job.record_id == kNoRecord) {
     job.record_id = record_store_->Add(std::move(text), reserve, priority);
   } else {
@@ -263,10 +176,11 @@
 
 bool JobStore::IsTaskDurable(JobIndex job_index, uint32_t task_index) const {
   const Job& job = jobs_[job_index];
-  const uint32_t part = task_index / kTasksPerChunk;
-  if (part == 0 || !job.has_spec) return record_store_->IsDurable(job.record_id);
-  return part <= job.chunk_record_ids.size() && job.chunk_record_ids[part - 1] != kNoRecord &&
-         record_store_->IsDurable(job.chunk_record_ids[part - 1]);
+  const uint32_t chunk = task_index / kTasksPerChunk;
+  if (chunk == 0 || !job.has_spec) return record_store_->IsDurable(job.record_id);
+  if (chunk > job.chunk_record_ids.size()) return false;
+  const RecordId record_id = job.chunk_record_ids[chunk - 1];
+  return record_id != kNoRecord && record_store_->IsDurable(record_id);
 }
 
 double JobStore::SecondsPastDeadline(JobIndex job_index, double wall) const {
@@ -310,36 +224,40 @@
   job.waiting_tasks.push_back(task_index);
 }
 
-void JobStore::SetTaskDone(Job* job, uint32_t task_index) {
-  Task& task = job->tasks[task_index];
+void JobStore::SetTaskDone(Job& job, uint32_t task_index) {
+  Task& task = job.tasks[task_index];
   if (task.phase == TaskPhase::kDone) return;
-  if (task.phase == TaskPhase::kPlaced) --job->tasks_placed;
-  if (task.phase == TaskPhase::kUnreconciled) --job->tasks_unreconciled;
-  if (task.phase == TaskPhase::kWaiting) std::erase(job->waiting_tasks, task_index);
+  if (task.phase == TaskPhase::kPlaced) --job.tasks_placed;
+  if (task.phase == TaskPhase::kUnreconciled) --job.tasks_unreconciled;
+  if (task.phase == TaskPhase::kWaiting) std::erase(job.waiting_tasks, task_index);
   task.phase = TaskPhase::kDone;
   task.machine = kNoIndex;
-  ++job->tasks_done;
+  ++job.tasks_done;
+}
+
+void JobStore::ResizeChunkRecords(Job& job) {
+  const size_t further_chunks = ChunkCount(job.spec.task_count) - 1;
+  job.chunk_record_ids.resize(std::max(job.chunk_record_ids.size(), further_chunks), kNoRecord);
 }
 
-void JobStore::SaveChunk(Job* job, uint32_t part) {
-  if (part == 0) return;  // in the job's own row
-  job->chunk_record_ids.resize(
-      std::max<size_t>(job->chunk_record_ids.size(), ChunkCount(job->spec.task_count) - 1),
-      kNoRecord);
-  RecordId& row = job->chunk_record_ids[part - 1];
-  std::string text = EncodeChunkRecord(*job, part);
-  if (row == kNoRecord) {
-    row = record_store_->Add(std::move(text), kChunkReserveBytes, WritePriority::kBackground);
+void JobStore::SaveChunk(Job& job, uint32_t chunk) {
+  if (chunk == 0) return;
+  ResizeChunkRecords(job);
+  RecordId& record_id = job.chunk_record_ids[chunk - 1];
+  std::string text = EncodeChunkRecord(job, chunk);
+  if (record_id == kNoRecord) {
+    record_id = record_store_->Add(std::move(text), kChunkReserveBytes, WritePriority::kBackground);
   } else {
-    record_store_->Update(row, std::move(text), kChunkReserveBytes, WritePriority::kBackground);
+    record_store_->Update(record_id, std::move(text), kChunkReserveBytes,
+                          WritePriority::kBackground);
   }
 }
 
 void JobStore::MarkTaskDone(JobIndex job_index, uint32_t task_index) {
   Job& job = jobs_[job_index];
   if (job.tasks[task_index].phase == TaskPhase::kDone) return;
-  SetTaskDone(&job, task_index);
-  SaveChunk(&job, task_index / kTasksPerChunk);
+  SetTaskDone(job, task_index);
+  SaveChunk(job, task_index / kTasksPerChunk);
 }
 
 void JobStore::MarkAllTasksDone(JobIndex job_index) {
@@ -347,30 +265,26 @@
   if (job.tasks_done == job.tasks.size()) return;
   job.waiting_tasks.clear();
   for (uint32_t task_index = 0; task_index < job.tasks.size(); ++task_index)
-    SetTaskDone(&job, task_index);
-  for (uint32_t part = 1; part < ChunkCount(job.spec.task_count); ++part) SaveChunk(&job, part);
-}
-
-void JobStore::RemoveFrom(std::vector<JobIndex>* list, JobIndex job_index) {
-  list->erase(std::remove(list->begin(), list->end(), job_index), list->end());
+    SetTaskDone(job, task_index);
+  for (uint32_t chunk = 1; chunk < ChunkCount(job.spec.task_count); ++chunk) SaveChunk(job, chunk);
 }
 
-void JobStore::EndJob(JobIndex job_index, JobLifecycle life, double now) {
+void JobStore::EndJob(JobIndex job_index, JobLifecycle lifecycle, double now) {
   Job& job = jobs_[job_index];
   if (job.lifecycle != JobLifecycle::kActive) return;
-  job.lifecycle = life;
+  job.lifecycle = lifecycle;
   job.ended_at = now;
-  RemoveFrom(&active_jobs_, job_index);
+  std::erase(active_jobs_, job_index);
   active_task_count_ -= job.tasks.size();
   ended_jobs_.push_back(job_index);
-  Save(job_index,
-       life == JobLifecycle::kCancelled ? WritePriority::kImmediate : WritePriority::kDeferred);
+  Save(job_index, lifecycle == JobLifecycle::kCancelled ? WritePriority::kImmediate
+                                                        : WritePriority::kDeferred);
   on_lifecycle_change(job_index);
 }
 
 void JobStore::DropSpec(JobIndex job_index) {
   Job& job = jobs_[job_index];
-  RemoveFrom(&ended_jobs_, job_index);
+  std::erase(ended_jobs_, job_index);
   job.has_spec = false;
   job.tasks = {};
   job.waiting_tasks = {};
