--- a/src/state/group_commit.h
+++ b/src/state/group_commit.h
@@ -2,7 +2,7 @@
 //
 // Guarantees:
 // - Every transaction is a compare-and-swap on the leader key and on the pages it writes: after
-//   the end of the term nothing is written, and no attempt is executed twice.
+//   the end of the term nothing is written, and of several attempts at most one is executed.
 // - A page is in one transaction at a time. Further transactions with immediate writes to other
 //   pages may be sent while one is slow to respond.
 // - Changes that were not committed, or have an indeterminate outcome, are sent again.
--- a/src/state/page_split.cc
+++ b/src/state/page_split.cc
@@ -1,46 +1,49 @@
 #include "state/page_split.h"
 
 #include <algorithm>
+#include <utility>
+
+#include "state/record_types.h"
 
 namespace deckhall {
 namespace {
 
-// Of a page, what its brackets take.
-constexpr size_t kBrackets = 2;
-
-// First fit: each row goes to the first page with room. One that is larger than a page
-// gets a page of its own.
-RecordGroups Pack(const std::vector<RecordSize>& rows, size_t RecordSize::*size,
-                  size_t page_bytes) {
+// First-fit packing by the size that `size` names.
+RecordGroups PackFirstFit(const std::vector<RecordSize>& records, size_t RecordSize::*size,
+                          size_t page_bytes) {
   RecordGroups groups;
-  std::vector<size_t> used;
-  for (size_t i = 0; i < rows.size(); ++i) {
-    const size_t bytes = rows[i].*size;
-    size_t at = 0;
-    while (at < groups.size() && used[at] + bytes > page_bytes) ++at;
-    if (at == groups.size()) {
+  std::vector<size_t> used_bytes;
+  for (size_t i = 0; i < records.size(); ++i) {
+    const size_t bytes = records[i].*size;
+    size_t group = 0;
+    while (group < groups.size() && used_bytes[group] + bytes > page_bytes) ++group;
+    if (group == groups.size()) {
       groups.emplace_back();
-      used.push_back(kBrackets);
+      used_bytes.push_back(kEmptyPageBytes);
     }
-    groups[at].push_back(i);
-    used[at] += bytes;
+    groups[group].push_back(i);
+    used_bytes[group] += bytes;
   }
   return groups;
 }
 
+// Moves the records of all groups beyond `max_groups` to the first group.
+void MergeExcessGroups(RecordGroups& groups, size_t max_groups) {
+  while (groups.size() > max_groups) {
+    const std::vector<size_t> excess = std::move(groups.back());
+    groups.pop_back();
+    groups.front().insert(groups.front().end(), excess.begin(), excess.end());
+  }
+}
+
 }  // namespace
 
-RecordGroups PlanPageSplit(const std::vector<RecordSize>& rows, const SplitLimits& limits) {
-  RecordGroups groups = Pack(rows, &RecordSize::reserve, limits.fill_bytes);
-  // Tight pages are split again later; what matters now is one transaction.
+RecordGroups PlanPageSplit(const std::vector<RecordSize>& records, const SplitLimits& limits) {
+  RecordGroups groups = PackFirstFit(records, &RecordSize::reserve_bytes, limits.fill_bytes);
+  // Full pages can be split again later; now the split has to fit one transaction.
   if (groups.size() > limits.max_pages)
-    groups = Pack(rows, &RecordSize::text, limits.max_value_bytes);
-  const size_t most = std::max<size_t>(limits.max_pages, 1);
-  while (groups.size() > most) {
-    std::vector<size_t> rest = std::move(groups.back());
-    groups.pop_back();
-    groups.front().insert(groups.front().end(), rest.begin(), rest.end());
-  }
+    groups = PackFirstFit(records, &RecordSize::text_bytes, limits.max_value_bytes);
+  MergeExcessGroups(groups, std::max<size_t>(limits.max_pages, 1));
   return groups;
 }
 
