--- a/tests/state_limits_test.cc
+++ b/tests/state_limits_test.cc
@@ -1,5 +1,5 @@
-// The state service lowers its limits: announced or not, with pages that were filled under
-// the former ones, and with a leader that ends at any step of splitting them.
+// The state service lowers its limits, announced or not: pages that were filled under the former
+// limits are split, also when a leader ends at any step of a split, and no record is lost.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -10,31 +10,43 @@
 namespace deckhall {
 namespace {
 
-constexpr size_t kRows = 30;
-constexpr size_t kSmallValue = 1000;
+constexpr size_t kRecordCount = 30;
+constexpr size_t kLoweredValueBytes = 1000;
+// The last record, and the text to which tests change it.
+constexpr RecordId kLastRecord = kRecordCount - 1;
+constexpr const char* kChangedLastRecord = "{\"row\":129,\"text\":\"new\"}";
+constexpr const char* kChangedFirstRecord = "{\"row\":100,\"text\":\"new\"}";
 
-std::string RowText(size_t i) {
+std::string RecordText(size_t i) {
   return "{\"row\":" + std::to_string(100 + i) + ",\"text\":\"" + std::string(70, 'x') + "\"}";
 }
 
-// A store whose one page was filled under larger limits.
-struct LargePage {
+size_t LargestValueBytes(const FakeState& state) {
+  size_t largest = 0;
+  for (const auto& [key, entry] : state.keys) largest = std::max(largest, entry.value.size());
+  return largest;
+}
+
+// A state service with one page that was filled under larger limits, and the record stores of
+// successive leaders.
+struct OversizedPageScenario {
   FakeClock clock;
   FakeState state;
   RecordStoreLimits limits;
-  std::vector<std::unique_ptr<RecordStore>> stores;  // answers to former ones may still come
+  std::vector<std::unique_ptr<RecordStore>> stores;  // responses to former ones may still come
 
-  LargePage() {
+  OversizedPageScenario() {
     state.keys["leader"] = {"{}", 1, 0};
     std::string page = "[";
-    for (size_t i = 0; i < kRows; ++i) page += (i == 0 ? "" : ",") + RowText(i);
+    for (size_t i = 0; i < kRecordCount; ++i) page += (i == 0 ? "" : ",") + RecordText(i);
     state.keys["deckhall/pages/000000"] = {page + "]", 2, 0};
-    limits.max_value_bytes = kSmallValue;
-    limits.fill_bytes = kSmallValue * 85 / 100;
+    limits.max_value_bytes = kLoweredValueBytes;
+    limits.fill_bytes = kLoweredValueBytes * 85 / 100;
     limits.current_max_value_bytes = 8 << 10;
     limits.max_transaction_ops = 4;
   }
-  RecordStore& Load() {
+  // The next leader takes over.
+  RecordStore& LoadStore() {
     if (!stores.empty()) stores.back()->Stop();
     stores.push_back(std::make_unique<RecordStore>(&state, &clock, limits, "leader", 1));
     stores.back()->Load([](bool ok, const auto&) { EXPECT_TRUE(ok); });
@@ -42,193 +54,189 @@
     stores.back()->SplitLargePages();
     return *stores.back();
   }
-  void Pass(double seconds) {
+  void AdvanceTime(double seconds) {
     for (double t = 0; t < seconds; t += 0.1) {
       clock.now += 0.1;
       stores.back()->Flush();
       state.Run();
     }
   }
-  // The number of each row that is stored, as often as it is.
-  std::multiset<int> Stored() const {
-    std::multiset<int> rows;
+  // The number of each stored record, as often as it is stored.
+  std::multiset<int> StoredRecords() const {
+    std::multiset<int> records;
     for (const auto& [key, entry] : state.keys) {
       if (!key.starts_with("deckhall/pages/")) continue;
-      rapidjson::Document doc;
-      EXPECT_TRUE(ParseJson(entry.value, &doc));
-      for (const auto& row : doc.GetArray()) rows.insert(row["row"].GetInt());
+      rapidjson::Document document;
+      EXPECT_TRUE(ParseJson(entry.value, &document));
+      for (const auto& record : document.GetArray()) records.insert(record["row"].GetInt());
     }
-    return rows;
+    return records;
   }
-  bool EachOnce() const {
-    const std::multiset<int> rows = Stored();
-    return rows.size() == kRows && std::set<int>(rows.begin(), rows.end()).size() == kRows;
+  bool HasEachRecordOnce() const {
+    const std::multiset<int> records = StoredRecords();
+    return records.size() == kRecordCount &&
+           std::set<int>(records.begin(), records.end()).size() == kRecordCount;
   }
-  size_t Largest() const {
-    size_t largest = 0;
-    for (const auto& [key, entry] : state.keys) largest = std::max(largest, entry.value.size());
-    return largest;
+  bool IsTextStored(const std::string& text) const {
+    return std::any_of(state.keys.begin(), state.keys.end(), [&](const auto& entry) {
+      return entry.second.value.find(text) != std::string::npos;
+    });
   }
 };
 
-TEST(StateLimits, ALargePageIsSplitBeforeTheAnnouncedLimitsCome) {
-  LargePage w;
-  w.Load();
-  w.Pass(10);
-  EXPECT_TRUE(w.EachOnce());
-  EXPECT_LE(w.Largest(), kSmallValue);
-  for (const Transaction& txn : w.state.committed)
-    EXPECT_LE(txn.mutations.size(), w.limits.max_transaction_ops);
+class LoweredLimitsTest : public testing::Test {
+ protected:
+  OversizedPageScenario scenario_;
+};
+
+TEST_F(LoweredLimitsTest, OversizedPageIsSplitBeforeAnnouncedLimitsTakeEffect) {
+  scenario_.LoadStore();
+  scenario_.AdvanceTime(10);
+  EXPECT_TRUE(scenario_.HasEachRecordOnce());
+  EXPECT_LE(LargestValueBytes(scenario_.state), kLoweredValueBytes);
+  for (const Transaction& transaction : scenario_.state.committed)
+    EXPECT_LE(transaction.mutations.size(), scenario_.limits.max_transaction_ops);
 }
 
 // A leader may end at any moment; the next one reads the same pages, of whatever version it is.
-TEST(StateLimits, ASplitThatEndsHalfWayLosesAndDoublesNoRow) {
+TEST_F(LoweredLimitsTest, LeaderEndingDuringSplitLosesAndDuplicatesNoRecord) {
   for (size_t step = 0; step < 40; ++step) {
-    LargePage w;
-    w.Load();
-    w.Pass(0.1 * static_cast<double>(step % 20));
-    w.state.hold_commits = step < 20 ? 1 : 0;
-    w.stores.back()->Flush();
-    w.Load();
-    ASSERT_TRUE(w.EachOnce()) << step;
-    w.state.Late();  // what the former leader had sent
-    ASSERT_TRUE(w.EachOnce()) << step;
-    w.Pass(10);
-    ASSERT_TRUE(w.EachOnce()) << step;
-    EXPECT_LE(w.Largest(), kSmallValue) << step;
+    OversizedPageScenario scenario;
+    scenario.LoadStore();
+    scenario.AdvanceTime(0.1 * static_cast<double>(step % 20));
+    scenario.state.hold_commits = step < 20 ? 1 : 0;
+    scenario.stores.back()->Flush();
+    scenario.LoadStore();
+    ASSERT_TRUE(scenario.HasEachRecordOnce()) << step;
+    scenario.state.Late();  // executes what the former leader had sent
+    ASSERT_TRUE(scenario.HasEachRecordOnce()) << step;
+    scenario.AdvanceTime(10);
+    ASSERT_TRUE(scenario.HasEachRecordOnce()) << step;
+    EXPECT_LE(LargestValueBytes(scenario.state), kLoweredValueBytes) << step;
   }
 }
 
-TEST(StateLimits, ASplitWhoseAnswerIsLostIsNotCarriedOutTwice) {
+TEST_F(LoweredLimitsTest, SplitWithIndeterminateOutcomeIsNotExecutedTwice) {
   for (const bool late : {false, true}) {
-    LargePage w;
-    RecordStore& store = w.Load();
-    (late ? w.state.hold_commits : w.state.lose_answers) = 1;
-    w.Pass(0.1);
-    // A row of a page whose split is not confirmed changes.
-    const std::string changed = "{\"row\":129,\"text\":\"new\"}";
-    store.Update(kRows - 1, changed, changed.size(), WritePriority::kImmediate);
-    w.Pass(0.3);
-    if (late) w.state.Late();
-    w.Pass(10);
-    EXPECT_TRUE(w.EachOnce());
-    EXPECT_LE(w.Largest(), kSmallValue);
-    EXPECT_TRUE(store.IsDurable(kRows - 1));
-    const bool stored = std::any_of(w.state.keys.begin(), w.state.keys.end(), [&](const auto& e) {
-      return e.second.value.find(changed) != std::string::npos;
-    });
-    EXPECT_TRUE(stored);
+    OversizedPageScenario scenario;
+    RecordStore& store = scenario.LoadStore();
+    (late ? scenario.state.hold_commits : scenario.state.lose_answers) = 1;
+    scenario.AdvanceTime(0.1);
+    // A record changes on a page whose split is not confirmed.
+    const std::string changed = kChangedLastRecord;
+    store.Update(kLastRecord, changed, changed.size(), WritePriority::kImmediate);
+    scenario.AdvanceTime(0.3);
+    if (late) scenario.state.Late();
+    scenario.AdvanceTime(10);
+    EXPECT_TRUE(scenario.HasEachRecordOnce());
+    EXPECT_LE(LargestValueBytes(scenario.state), kLoweredValueBytes);
+    EXPECT_TRUE(store.IsDurable(kLastRecord));
+    EXPECT_TRUE(scenario.IsTextStored(changed));
   }
 }
 
-TEST(StateLimits, WhatChangesWhileASplitIsOnItsWayIsWrittenAfterIt) {
-  LargePage w;
-  RecordStore& store = w.Load();
-  w.clock.now += 1;
+TEST_F(LoweredLimitsTest, RecordChangedWhileSplitIsInFlightIsWrittenAfterIt) {
+  RecordStore& store = scenario_.LoadStore();
+  scenario_.clock.now += 1;
   store.Flush();
-  ASSERT_EQ(w.state.committed.size(), 1U);
-  const std::string changed = "{\"row\":129,\"text\":\"new\"}";
-  store.Update(kRows - 1, changed, changed.size(), WritePriority::kImmediate);
-  w.state.Run();
-  w.Pass(3);
-  EXPECT_TRUE(store.IsDurable(kRows - 1));
-  EXPECT_TRUE(w.EachOnce());
+  ASSERT_EQ(scenario_.state.committed.size(), 1U);
+  const std::string changed = kChangedLastRecord;
+  store.Update(kLastRecord, changed, changed.size(), WritePriority::kImmediate);
+  scenario_.state.Run();
+  scenario_.AdvanceTime(3);
+  EXPECT_TRUE(store.IsDurable(kLastRecord));
+  EXPECT_TRUE(scenario_.HasEachRecordOnce());
 }
 
-TEST(StateLimits, NoTransactionHasMoreOperationsThanAllowed) {
-  LargePage w;
-  RecordStore& store = w.Load();
-  w.Pass(3);
-  w.state.committed.clear();
+TEST_F(LoweredLimitsTest, ManyDirtyPagesAreWrittenWithinTheOperationLimit) {
+  RecordStore& store = scenario_.LoadStore();
+  scenario_.AdvanceTime(3);
+  scenario_.state.committed.clear();
   for (int i = 0; i < 10; ++i) store.Add(R"({"row":1})", 800, WritePriority::kImmediate);
-  w.Pass(2);
+  scenario_.AdvanceTime(2);
   size_t writes = 0;
-  for (const Transaction& txn : w.state.committed) {
-    EXPECT_LE(txn.mutations.size(), w.limits.max_transaction_ops);
-    writes += txn.mutations.size();
+  for (const Transaction& transaction : scenario_.state.committed) {
+    EXPECT_LE(transaction.mutations.size(), scenario_.limits.max_transaction_ops);
+    writes += transaction.mutations.size();
   }
   EXPECT_EQ(writes, 10U);
 }
 
-// Found on the deployments with gangs: with few operations a transaction, lazy writes left
-// no budget for acceptances.
-TEST(StateLimits, LazyWritesLeaveRoomHoweverFewOperationsAreAllowed) {
-  LargePage w;
-  RecordStore& store = w.Load();
-  w.Pass(3);
-  w.state.write_room = 4;
-  const RecordId lazy = store.Add(R"({"row":1})", 800, WritePriority::kBackground);
-  w.Pass(2);
-  EXPECT_FALSE(store.IsDurable(lazy));
-  const RecordId urgent = store.Add(R"({"row":2})", 800, WritePriority::kImmediate);
-  w.Pass(0.2);
-  EXPECT_TRUE(store.IsDurable(urgent));
-  w.state.write_room = 6;
-  w.Pass(2);
-  EXPECT_TRUE(store.IsDurable(lazy));
+// Regression: under a low limit of operations, background writes left no tokens for immediate
+// ones, such as the acceptance of a job.
+TEST_F(LoweredLimitsTest, BackgroundWriteLeavesTokensForImmediateWriteUnderLowOperationLimit) {
+  RecordStore& store = scenario_.LoadStore();
+  scenario_.AdvanceTime(3);
+  scenario_.state.write_room = 4;
+  const RecordId background = store.Add(R"({"row":1})", 800, WritePriority::kBackground);
+  scenario_.AdvanceTime(2);
+  EXPECT_FALSE(store.IsDurable(background));
+  const RecordId immediate = store.Add(R"({"row":2})", 800, WritePriority::kImmediate);
+  scenario_.AdvanceTime(0.2);
+  EXPECT_TRUE(store.IsDurable(immediate));
+  scenario_.state.write_room = 6;
+  scenario_.AdvanceTime(2);
+  EXPECT_TRUE(store.IsDurable(background));
 }
 
-TEST(StateLimits, PagesThatAreLargeWhenTheLimitsComeAreSplitInOneTransaction) {
-  LargePage w;
-  w.state.value_limit = kSmallValue;
-  w.state.ops_limit = 4;
-  RecordStore& store = w.Load();
-  const RecordId urgent = store.Add(R"({"row":1})", 20, WritePriority::kImmediate);
-  w.Pass(1);
-  EXPECT_TRUE(store.IsDurable(urgent));  // what fits goes on
-  w.Pass(20);
-  EXPECT_LE(w.Largest(), kSmallValue);
-  EXPECT_EQ(w.Stored().size(), kRows + 1);
+TEST_F(LoweredLimitsTest, OversizedPageIsSplitInOneTransactionOnceLimitsAreInForce) {
+  scenario_.state.value_limit = kLoweredValueBytes;
+  scenario_.state.ops_limit = 4;
+  RecordStore& store = scenario_.LoadStore();
+  const RecordId immediate = store.Add(R"({"row":1})", 20, WritePriority::kImmediate);
+  scenario_.AdvanceTime(1);
+  EXPECT_TRUE(store.IsDurable(immediate));  // pages within the limits are still written
+  scenario_.AdvanceTime(20);
+  EXPECT_LE(LargestValueBytes(scenario_.state), kLoweredValueBytes);
+  EXPECT_EQ(scenario_.StoredRecords().size(), kRecordCount + 1);
 }
 
-// Found by reading: a rejected transaction counted as a conflict, versions were read back,
-// and it was sent again without end, with all that went along.
-TEST(StateLimits, LimitsThatNobodyAnnouncedAreLearntFromTheAnswers) {
+// Regression: a rejection was handled as a conflict, and the same transaction was sent again
+// without end.
+TEST_F(LoweredLimitsTest, UnannouncedLimitsAreLearntFromRejections) {
   for (const size_t ops : {2UL, 3UL, 12UL}) {
-    LargePage w;
-    w.limits = RecordStoreLimits();
-    w.limits.background_delay_s = 0.1;
-    RecordStore& store = w.Load();
-    std::vector<RecordId> rows;
+    OversizedPageScenario scenario;
+    scenario.limits = RecordStoreLimits();
+    scenario.limits.background_delay_s = 0.1;
+    RecordStore& store = scenario.LoadStore();
+    std::vector<RecordId> records;
     for (int i = 0; i < 8; ++i) {
-      rows.push_back(
-          store.Add(RowText(200 + static_cast<size_t>(i)), 6000, WritePriority::kImmediate));
+      records.push_back(
+          store.Add(RecordText(200 + static_cast<size_t>(i)), 6000, WritePriority::kImmediate));
     }
-    w.state.ops_limit = ops;
-    w.state.value_limit = 5000;
-    w.Pass(3);
-    for (const RecordId row : rows) EXPECT_TRUE(store.IsDurable(row)) << ops;
-    EXPECT_LT(w.state.too_many_ops + w.state.too_large, 30) << ops;
+    scenario.state.ops_limit = ops;
+    scenario.state.value_limit = 5000;
+    scenario.AdvanceTime(3);
+    for (const RecordId record : records) EXPECT_TRUE(store.IsDurable(record)) << ops;
+    EXPECT_LT(scenario.state.too_many_ops + scenario.state.too_large, 30) << ops;
   }
 }
 
-TEST(StateLimits, OnePageThatIsRejectedHoldsUpNoOther) {
-  LargePage w;
-  w.limits = RecordStoreLimits();
-  w.state.value_limit = 2000;  // the page takes more, and the store does not know
-  RecordStore& store = w.Load();
-  const std::string changed = "{\"row\":100,\"text\":\"new\"}";
+TEST_F(LoweredLimitsTest, RejectedPageDoesNotDelayOtherPages) {
+  scenario_.limits = RecordStoreLimits();
+  scenario_.state.value_limit = 2000;  // less than the page, and not announced
+  RecordStore& store = scenario_.LoadStore();
+  const std::string changed = kChangedFirstRecord;
   store.Update(0, changed, changed.size(), WritePriority::kImmediate);
   const RecordId other = store.Add(std::string(40, '7'), 7000, WritePriority::kImmediate);
-  w.Pass(2);
+  scenario_.AdvanceTime(2);
   EXPECT_TRUE(store.IsDurable(other));
-  w.Pass(20);
+  scenario_.AdvanceTime(20);
   EXPECT_TRUE(store.IsDurable(0));
-  EXPECT_LE(w.Largest(), 2000U);
+  EXPECT_LE(LargestValueBytes(scenario_.state), 2000U);
 }
 
-TEST(StateLimits, RowsThatFitNoPageTogetherStayOnTheOldOne) {
-  const std::vector<RecordSize> rows(10, RecordSize{400, 300});
-  const RecordGroups groups = PlanPageSplit(rows, {1000, 1200, 2});
+TEST(PlanPageSplitTest, RecordsThatExceedAllPagesStayInTheFirstGroup) {
+  const std::vector<RecordSize> records(10, RecordSize{400, 300});
+  const RecordGroups groups = PlanPageSplit(records, {1000, 1200, 2});
   ASSERT_EQ(groups.size(), 2U);
-  EXPECT_EQ(groups[0].size() + groups[1].size(), rows.size());
+  EXPECT_EQ(groups[0].size() + groups[1].size(), records.size());
   EXPECT_LE(groups[1].size() * 300, 1200U);
-  EXPECT_EQ(PlanPageSplit(rows, {1000, 1200, 10}).size(), 5U);
+  EXPECT_EQ(PlanPageSplit(records, {1000, 1200, 10}).size(), 5U);
 }
 
-// What the version before wrote: large pages with jobs, machines and hints of caches. Under
-// the new limits every job stays known, and new ones are accepted.
-TEST(StateLimits, WhatWasWrittenUnderLargerLimitsIsKeptAndNewJobsAreAccepted) {
+// An earlier version wrote large pages with jobs, machines and cache hints.
+TEST(LeaderLoweredLimitsTest, JobsWrittenUnderLargerLimitsAreKeptAndNewJobsAreAccepted) {
   World w;
   w.settings.teams[0].cores_max = 0;
   w.Lead();
@@ -236,11 +244,9 @@
   for (int i = 0; i < 40; ++i) {
     ASSERT_EQ(w.Submit(w.Array("job-" + std::to_string(i), 1)).status, 201);
   }
-  w.Pass(20);  // hints are written too
+  w.Pass(20);  // cache hints are written too
   ASSERT_EQ(w.Ask(JobOperation::kCancel, "job-7").state, JobState::kCancelled);
-  size_t largest = 0;
-  for (const auto& [key, entry] : w.state.keys) largest = std::max(largest, entry.value.size());
-  ASSERT_GT(largest, 4096U);
+  ASSERT_GT(LargestValueBytes(w.state), 4096U);
   w.settings.effective_state_limits.value_kb = 2;
   w.settings.effective_state_limits.txn_ops = 4;
   w.Lead();
@@ -263,7 +269,7 @@
   EXPECT_EQ(w.Ask(JobOperation::kGet, "job-100").status, 200);
 }
 
-TEST(StateLimits, AJobThatOnlyTheFormerLimitsCouldHoldStillEnds) {
+TEST(LeaderLoweredLimitsTest, JobTooLargeForLoweredLimitsCanStillBeCancelled) {
   World w;
   w.Lead();
   JobSpec large = w.Array("job-1", 1);
@@ -283,18 +289,18 @@
   EXPECT_EQ(w.Submit(large).status, 422);
 }
 
-TEST(Settings, TheSmallerOfPresentAndAnnouncedLimitsCounts) {
+TEST(Settings, SmallerOfPresentAndAnnouncedLimitIsEffective) {
   const std::string text =
       R"({"label":"n0","serve_on":"127.0.0.1:1","mesh_addr":"127.0.0.1:2",
 "external":{"cloud":"127.0.0.1:4","state":"127.0.0.1:5"},
 "cluster":{"state":{"rps":60,"write_rps":20,"value_kb":8,"txn_ops":12,
 "next":{"write_rps":30,"value_kb":2,"txn_ops":4}}}})";
-  Settings s;
-  ASSERT_EQ(ReadSettings(text, &s), "");
-  EXPECT_EQ(s.current_state_limits.value_kb, 8);
-  EXPECT_EQ(s.effective_state_limits.value_kb, 2);
-  EXPECT_EQ(s.effective_state_limits.txn_ops, 4);
-  EXPECT_EQ(s.effective_state_limits.write_rps, 20);
+  Settings settings;
+  ASSERT_EQ(ReadSettings(text, &settings), "");
+  EXPECT_EQ(settings.current_state_limits.value_kb, 8);
+  EXPECT_EQ(settings.effective_state_limits.value_kb, 2);
+  EXPECT_EQ(settings.effective_state_limits.txn_ops, 4);
+  EXPECT_EQ(settings.effective_state_limits.write_rps, 20);
   std::string without = text;
   const size_t at = without.find(",\n\"next\"");
   without.erase(at, without.find("}}}}") + 1 - at);
