--- a/src/api/http_api.cc
+++ b/src/api/http_api.cc
@@ -2,153 +2,155 @@
 
 #include <spdlog/spdlog.h>
 
+#include <optional>
+#include <utility>
+
+#include "api/http_status.h"
 #include "wire/job_codec.h"
 #include "wire/worker_codec.h"
 
 namespace deckhall {
 namespace {
 
-constexpr std::string_view kJobsPath = "/api/jobs";
-constexpr std::string_view kCancelEnd = "/cancel";
+constexpr const char* kHealthyBody = "{\"up\":true}";
+constexpr const char* kUnhealthyBody = "{\"up\":false}";
+
+// The errors that the API itself finds; the backend finds the others.
+enum class ApiError { kUnknownPath, kUnknownJob, kMethodNotAllowed, kMalformedHeartbeat };
+
+struct ErrorDescription {
+  int status;
+  const char* text;  // of the body; clients rely on its form
+};
+
+ErrorDescription Describe(ApiError error) {
+  switch (error) {
+    case ApiError::kUnknownPath:
+      return {http_status::kNotFound, "no such path"};
+    case ApiError::kUnknownJob:
+      return {http_status::kNotFound, "no such job"};
+    case ApiError::kMethodNotAllowed:
+      return {http_status::kMethodNotAllowed, "method not allowed"};
+    case ApiError::kMalformedHeartbeat:
+      return {http_status::kBadRequest, "malformed report"};
+  }
+  return {http_status::kServiceUnavailable, "unknown error"};
+}
+
+HttpAnswer ErrorResponse(int status, std::string_view text) {
+  HttpAnswer response;
+  response.status = status;
+  response.body = EncodeError(text);
+  return response;
+}
 
-HttpAnswer Error(int status, const char* why) {
-  HttpAnswer a;
-  a.status = status;
-  a.body = EncodeError(why);
-  return a;
+HttpAnswer ErrorResponse(ApiError error) {
+  const ErrorDescription description = Describe(error);
+  return ErrorResponse(description.status, description.text);
 }
 
-HttpAnswer WrongMethod(const char* allow) {
-  HttpAnswer a = Error(405, "method not allowed");
-  a.allow = allow;
-  return a;
+HttpAnswer MethodNotAllowedResponse(const char* allowed_method) {
+  HttpAnswer response = ErrorResponse(ApiError::kMethodNotAllowed);
+  response.allow = allowed_method;
+  return response;
 }
 
+std::string PathOf(const std::string& target) { return target.substr(0, target.find('?')); }
+
 }  // namespace
 
 HttpApi::HttpApi(const Clock* clock, Backend backend)
-    : clock_(clock),
-      backend_(std::move(backend)),
-      submit_ms_(boost::histogram::make_histogram(
-          boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>(
-              40, 0.5, 10000.0))) {}
+    : clock_(clock), backend_(std::move(backend)) {}
 
 void HttpApi::Handle(const HttpMessage& request, const HttpServer::Reply& reply) {
-  const std::string path = request.target.substr(0, request.target.find('?'));
-  if (path == "/up") {
-    if (request.method != "GET") {
-      reply(WrongMethod("GET"));
-      return;
-    }
-    HttpAnswer a;
-    a.status = backend_.is_healthy() ? 200 : 503;
-    a.body = a.status == 200 ? "{\"up\":true}" : "{\"up\":false}";
-    reply(a);
-  } else if (path == "/checkin") {
-    if (request.method != "POST") {
-      reply(WrongMethod("POST"));
-    } else {
-      HandleHeartbeat(request, reply);
-    }
-  } else if (path == kJobsPath || (path.starts_with(kJobsPath) && path[kJobsPath.size()] == '/')) {
-    HandleJobs(request, path, reply);
-  } else {
-    reply(Error(404, "no such path"));
-  }
-}
-
-void HttpApi::HandleJobs(const HttpMessage& request, const std::string& path,
-                         const HttpServer::Reply& reply) {
-  JobRequest job_request;
-  if (path == kJobsPath) {
-    if (request.method != "POST") {
-      reply(WrongMethod("POST"));
-      return;
-    }
-    job_request.operation = JobOperation::kSubmit;
-    job_request.validation_error = ParseJob(request.body, &job_request.job_id, &job_request.job);
-    // Without a usable id nobody can know the job.
-    if (job_request.job_id.empty()) {
-      reply(Error(400, job_request.validation_error.c_str()));
-      return;
-    }
-    ForwardJobRequest(std::move(job_request), reply);
+  const std::optional<RouteMatch> match = MatchRoute(PathOf(request.target));
+  if (!match) {
+    reply(ErrorResponse(ApiError::kUnknownPath));
     return;
   }
-  job_request.job_id = path.substr(kJobsPath.size() + 1);
-  job_request.operation = JobOperation::kGet;
-  if (job_request.job_id.size() > kCancelEnd.size() && job_request.job_id.ends_with(kCancelEnd)) {
-    job_request.job_id.resize(job_request.job_id.size() - kCancelEnd.size());
-    job_request.operation = JobOperation::kCancel;
-  }
-  if (job_request.job_id.find('/') != std::string::npos) {
-    reply(Error(404, "no such path"));
+  if (request.method != match->method) {
+    reply(MethodNotAllowedResponse(match->method));
     return;
   }
-  const char* method = job_request.operation == JobOperation::kGet ? "GET" : "POST";
-  if (request.method != method) {
-    reply(WrongMethod(method));
+  switch (match->route) {
+    case RouteId::kHealth:
+      return HandleHealthProbe(reply);
+    case RouteId::kHeartbeat:
+      return HandleHeartbeat(request, reply);
+    case RouteId::kSubmitJob:
+      return HandleSubmission(request, reply);
+    case RouteId::kGetJob:
+      return HandleJobOperation(JobOperation::kGet, match->job_id, reply);
+    case RouteId::kCancelJob:
+      return HandleJobOperation(JobOperation::kCancel, match->job_id, reply);
+  }
+}
+
+void HttpApi::HandleHealthProbe(const HttpServer::Reply& reply) {
+  const bool healthy = backend_.is_healthy();
+  HttpAnswer response;
+  response.status = healthy ? http_status::kOk : http_status::kServiceUnavailable;
+  response.body = healthy ? kHealthyBody : kUnhealthyBody;
+  reply(response);
+}
+
+void HttpApi::HandleSubmission(const HttpMessage& request, const HttpServer::Reply& reply) {
+  JobRequest submission;
+  submission.operation = JobOperation::kSubmit;
+  submission.validation_error = ParseJob(request.body, &submission.job_id, &submission.job);
+  // An invalid submission with a usable id goes on: the job may be known already.
+  if (submission.job_id.empty()) {
+    reply(ErrorResponse(http_status::kBadRequest, submission.validation_error));
     return;
   }
-  if (!ValidJobId(job_request.job_id)) {
-    // Can never have been accepted.
-    reply(Error(404, "no such job"));
+  SendToBackend(std::move(submission), reply);
+}
+
+void HttpApi::HandleJobOperation(JobOperation operation, const std::string& job_id,
+                                 const HttpServer::Reply& reply) {
+  // A job with an invalid id can't have been accepted.
+  if (!ValidJobId(job_id)) {
+    reply(ErrorResponse(ApiError::kUnknownJob));
     return;
   }
-  ForwardJobRequest(std::move(job_request), reply);
+  JobRequest request;
+  request.operation = operation;
+  request.job_id = job_id;
+  SendToBackend(std::move(request), reply);
 }
 
-void HttpApi::ForwardJobRequest(JobRequest job_request, const HttpServer::Reply& reply) {
-  const double began = clock_->Now();
-  JobRequest head;
-  head.operation = job_request.operation;
-  head.job_id = job_request.job_id;
-  backend_.handle_job_request(std::move(job_request),
-                              [this, head, began, reply](const JobResponse& response) {
-                                HttpAnswer a;
-                                a.status = response.status;
-                                a.retry_after_s = response.retry_after_s;
-                                a.body = EncodeJobResponse(head, response);
-                                if (head.operation == JobOperation::kSubmit) {
-                                  ++submits_;
-                                  if (response.status >= 300) ++refusals_;
-                                  submit_ms_((clock_->Now() - began) * 1000 + 0.5);
-                                }
-                                reply(a);
-                              });
+void HttpApi::SendToBackend(JobRequest request, const HttpServer::Reply& reply) {
+  const double received_at = clock_->Now();
+  JobRequest header;  // all that the response depends on, without the job itself
+  header.operation = request.operation;
+  header.job_id = request.job_id;
+  auto respond = [this, header, received_at, reply](const JobResponse& job_response) {
+    HttpAnswer response;
+    response.status = job_response.status;
+    response.retry_after_s = job_response.retry_after_s;
+    response.body = EncodeJobResponse(header, job_response);
+    if (header.operation == JobOperation::kSubmit) {
+      submission_statistics_.Record(job_response.status, clock_->Now() - received_at);
+    }
+    reply(response);
+  };
+  backend_.handle_job_request(std::move(request), std::move(respond));
 }
 
 void HttpApi::HandleHeartbeat(const HttpMessage& request, const HttpServer::Reply& reply) {
   Heartbeat heartbeat;
   if (!DecodeHeartbeat(request.body, &heartbeat)) {
-    spdlog::warn("a report is malformed");
-    reply(Error(400, "malformed report"));
+    spdlog::warn("malformed heartbeat refused");
+    reply(ErrorResponse(ApiError::kMalformedHeartbeat));
     return;
   }
-  backend_.handle_heartbeat(std::move(heartbeat), [reply](const HeartbeatResponse& response) {
-    HttpAnswer a;
-    a.status = response.status;
-    a.body = EncodeHeartbeatResponse(response);
-    reply(a);
-  });
-}
-
-void HttpApi::LogSubmitLatency() {
-  if (submits_ == 0) return;
-  const double total = static_cast<double>(submits_);
-  double below = 0;
-  double p50 = 0;
-  double p97 = 0;
-  for (auto&& cell : boost::histogram::indexed(submit_ms_, boost::histogram::coverage::all)) {
-    below += *cell;
-    if (p50 == 0 && below >= 0.5 * total) p50 = cell.bin().upper();
-    if (p97 == 0 && below >= 0.97 * total) p97 = cell.bin().upper();
-  }
-  spdlog::info(
-      "submissions: {} answered, {} not accepted, half within {:.0f} ms, 97% within {:.0f} ms",
-      submits_, refusals_, p50, p97);
-  submit_ms_.reset();
-  submits_ = refusals_ = 0;
+  auto respond = [reply](const HeartbeatResponse& heartbeat_response) {
+    HttpAnswer response;
+    response.status = heartbeat_response.status;
+    response.body = EncodeHeartbeatResponse(heartbeat_response);
+    reply(response);
+  };
+  backend_.handle_heartbeat(std::move(heartbeat), std::move(respond));
 }
 
 }  // namespace deckhall
--- a/src/app/controller.cc
+++ b/src/app/controller.cc
@@ -2,40 +2,46 @@
 
 #include <spdlog/spdlog.h>
 
-#include <algorithm>
+#include <utility>
+#include <variant>
+
+#include "api/http_status.h"
 
 namespace deckhall {
 namespace {
 
+// Users wait 2 s for the response to a status request and 5 s for any other, workers 4 s for that
+// to a heartbeat; each timeout leaves time for the response's way back.
 constexpr double kStatusForwardTimeoutSeconds = 1.5;
 constexpr double kSubmitForwardTimeoutSeconds = 3.0;
 constexpr double kHeartbeatForwardTimeoutSeconds = 2.0;
-// Status requests for each message to a worker that the processor allows for. Set by
-// trial, see docs/results.md: what the processor can take is not refused.
+
+// Status requests that are admitted for each message that the workers exchange with the leader.
 constexpr double kStatusRequestsPerMessage = 1.5;
-constexpr double kRefusalLogIntervalSeconds = 60;  // seconds
-constexpr int kStatusRetryAfterSeconds = 2;        // seconds
-constexpr double kRetiredLeaderSeconds = 15;       // longer than any request of a leader lasts
-// A leader that can't reach most workers for so long lets another one lead, and
-// runs again only after a while.
-constexpr double kUnreachableLeaderSeconds = 2;
+constexpr double kRefusalLogIntervalSeconds = 60;
+constexpr int kStatusRetryAfterSeconds = 2;
+
+constexpr double kUnreachableWorkersTimeoutSeconds = 2;
+// Within this time a peer must have responded: the fault is then between this controller and the
+// workers, and another controller may reach them.
+constexpr double kResignPeerContactSeconds = kUnreachableWorkersTimeoutSeconds / 2;
 constexpr double kResignPauseSeconds = 20;
 
 ElectionOptions ElectionOptionsFrom(const Settings& settings, const Tuning& tuning,
                                     uint64_t instance) {
-  ElectionOptions o;
-  o.label = settings.label;
-  o.instance = instance;
-  o.lease_ttl_ms = static_cast<int>(tuning.lease_ms);
-  o.keep_alive_interval_s = tuning.keep_alive_ms / 1000;
-  return o;
+  ElectionOptions options;
+  options.label = settings.label;
+  options.instance = instance;
+  options.lease_ttl_ms = static_cast<int>(tuning.lease_ms);
+  options.keep_alive_interval_s = tuning.keep_alive_ms / 1000;
+  return options;
 }
 
 }  // namespace
 
 double StatusRequestsPerSecond(const Settings& settings, const Tuning& tuning) {
-  return MessagesPerSecond(settings, tuning) * kStatusRequestsPerMessage /
-         static_cast<double>(settings.siblings.size() + 1);
+  const auto controllers = static_cast<double>(settings.siblings.size() + 1);
+  return MessagesPerSecond(settings, tuning) * kStatusRequestsPerMessage / controllers;
 }
 
 Controller::Controller(const ControllerPorts& ports, Settings settings, Tuning tuning,
@@ -45,6 +51,7 @@
       tuning_(tuning),
       election_(ports.key_value_store, ports.clock,
                 ElectionOptionsFrom(settings_, tuning_, instance)),
+      leader_lifecycle_(ports.clock, &settings_, &tuning_),
       peer_network_(ports.peer_transport, ports.clock, settings_.label, instance,
                     settings_.siblings, MaxForwardedRequests(settings_),
                     [this](PeerMessage request, const PeerRpc::ResponseCallback& respond) {
@@ -53,7 +60,7 @@
       health_(settings_.label),
       forwarder_(&peer_network_, ports.clock,
                  [this](const JobRequest& request, const JobResponseCallback& done) {
-                   return ServeHere(request, done);
+                   return ServeLocally(request, done);
                  }),
       policy_replicator_(ports.key_value_store, ports.clock, &settings_),
       status_rate_limiter_(StatusRequestsPerSecond(settings_, tuning_)) {
@@ -62,11 +69,7 @@
   election_.on_term_bound = [this](uint64_t bound) {
     peer_network_.membership().ConfirmTerm(bound);
   };
-  peer_network_.membership().on_higher_term = [this](uint64_t term) {
-    if (election_.HoldsKey() && term > election_.term()) {
-      election_.LoseLeadership("a peer knows of a higher term");
-    }
-  };
+  peer_network_.membership().on_higher_term = [this](uint64_t term) { HandleHigherTerm(term); };
 }
 
 Controller::~Controller() = default;
@@ -75,139 +78,194 @@
   const double now = ports_.clock->Now();
   election_.Tick();
   peer_network_.Tick();
-  const bool holding = leader_ && leader_->loaded();
-  peer_network_.membership().SetLeadership(holding && election_.IsLeaseValid(), holding,
-                                           election_.term());
+  AnnounceLeadership();
   policy_replicator_.Tick();
-  if (leader_) {
-    leader_->ApplyDisruptionPolicy(policy_replicator_.in_force(),
-                                   policy_replicator_.IsConfirmed(elected_at_));
-    leader_->Tick();
-  }
+  TickLeader();
   forwarder_.Tick();
-  if (leader_ && leader_->UnreachableSeconds() > kUnreachableLeaderSeconds &&
-      peer_network_.membership().SecondsSinceLastResponse() < kUnreachableLeaderSeconds / 2) {
-    election_.Resign("most workers can't be reached from here", kResignPauseSeconds);
+  ResignIfWorkersUnreachable();
+  leader_lifecycle_.DestroyRetiredLeaders(now);
+  const PeerMembership& membership = peer_network_.membership();
+  health_.Update(now, membership.Leader(), election_.IsLeaseValid(),
+                 membership.SecondsSinceLastResponse());
+}
+
+void Controller::AnnounceLeadership() {
+  const bool leading = leader_lifecycle_.HasLoadedLeader();
+  peer_network_.membership().SetLeadership(leading && election_.IsLeaseValid(), leading,
+                                           election_.term());
+}
+
+void Controller::TickLeader() {
+  Leader* leader = leader_lifecycle_.current();
+  if (leader == nullptr) return;
+  leader->ApplyDisruptionPolicy(policy_replicator_.in_force(),
+                                policy_replicator_.IsConfirmed(leader_lifecycle_.elected_at()));
+  leader->Tick();
+}
+
+void Controller::ResignIfWorkersUnreachable() {
+  const Leader* leader = leader_lifecycle_.current();
+  if (leader == nullptr || leader->UnreachableSeconds() <= kUnreachableWorkersTimeoutSeconds)
+    return;
+  const double silence_s = peer_network_.membership().SecondsSinceLastResponse();
+  if (silence_s >= kResignPeerContactSeconds) return;
+  election_.Resign(LeadershipLossReason::kWorkersUnreachable, kResignPauseSeconds);
+}
+
+void Controller::HandleHigherTerm(uint64_t term) {
+  if (election_.HoldsKey() && term > election_.term()) {
+    election_.LoseLeadership(LeadershipLossReason::kHigherTermFromPeer);
   }
-  std::erase_if(retired_leaders_, [now](const RetiredLeader& r) {
-    return now - r.retired_at > kRetiredLeaderSeconds;
-  });
-  health_.Update(now, peer_network_.membership().Leader(), election_.IsLeaseValid(),
-                 peer_network_.membership().SecondsSinceLastResponse());
 }
 
-void Controller::StartLeading(uint64_t term) {
-  peer_network_.membership().ConfirmTerm(term);
+LeaderPorts Controller::BuildLeaderPorts() {
   LeaderPorts ports;
   ports.key_value_store = ports_.key_value_store;
   ports.cloud = ports_.cloud;
   ports.workers = ports_.workers;
   ports.clock = ports_.clock;
   ports.lease = this;
-  ports.no_later_term_since = [this](uint64_t t) {
-    return peer_network_.membership().NoLaterTermSince(t);
+  ports.no_later_term_since = [this](uint64_t term) {
+    return peer_network_.membership().NoLaterTermSince(term);
   };
   ports.is_zone_suspected = [this](const std::string& zone) {
     return zone != settings_.site && peer_network_.membership().IsSiteSuspected(zone);
   };
+  ports.former_leader_zone = FormerLeaderZone();
+  return ports;
+}
+
+std::string Controller::FormerLeaderZone() const {
+  std::string zone;
   for (const Peer& peer : settings_.siblings) {
-    if (peer.label == election_.former_leader_label()) ports.former_leader_zone = peer.site;
+    if (peer.label == election_.former_leader_label()) zone = peer.site;
   }
-  leader_ = std::make_unique<Leader>(ports, &settings_, &tuning_, Election::kKey, term);
-  leader_->on_leadership_lost = [this](const char* why) { election_.LoseLeadership(why); };
-  elected_at_ = ports_.clock->Now();
-  // Another leader may have had a newer policy.
+  return zone;
+}
+
+void Controller::StartLeading(uint64_t term) {
+  peer_network_.membership().ConfirmTerm(term);
+  Leader* leader = leader_lifecycle_.CreateLeader(BuildLeaderPorts(), term);
+  leader->on_leadership_lost = [this](const char* cause) {
+    if (election_.HoldsKey()) spdlog::warn("term={}: fenced: {}", election_.term(), cause);
+    election_.LoseLeadership(LeadershipLossReason::kFencedByHigherTerm);
+  };
+  // Another controller may have stored a newer policy while it led.
   policy_replicator_.ReadSoon();
-  leader_->Start();
+  leader->Start();
 }
 
 void Controller::StopLeading() {
   peer_network_.membership().SetLeadership(false, false, 0);
-  if (!leader_) return;
-  leader_->Retire();
-  retired_leaders_.push_back({ports_.clock->Now(), std::move(leader_)});
+  leader_lifecycle_.RetireLeader();
 }
 
-bool Controller::AdmitStatusRequest(const std::string& job) {
+bool Controller::AdmitStatusRequest(const std::string& job_id) {
   const double now = ports_.clock->Now();
-  if (status_rate_limiter_.Admit(job, now)) return true;
-  if (!refusal_logged_at_ || now >= *refusal_logged_at_ + kRefusalLogIntervalSeconds) {
-    refusal_logged_at_ = now;
-    spdlog::warn("more status requests than are taken: the rest gets 503");
-  }
+  if (status_rate_limiter_.Admit(job_id, now)) return true;
+  LogStatusRefusal(now);
   return false;
 }
 
-bool Controller::ServeHere(const JobRequest& request, const JobResponseCallback& done) {
-  if (!leader_ || !leader_->loaded()) return false;
-  leader_->HandleJobRequest(request, done);
+void Controller::LogStatusRefusal(double now) {
+  if (refusal_logged_at_ && now < *refusal_logged_at_ + kRefusalLogIntervalSeconds) return;
+  refusal_logged_at_ = now;
+  spdlog::warn("status requests exceed the rate limit: refusing some with 503");
+}
+
+void Controller::RecordStatusResponse(const std::string& job_id, const JobResponse& response) {
+  const bool exists =
+      response.status == http_status::kOk || response.status == http_status::kCreated;
+  const bool unknown = response.status == http_status::kNotFound;
+  if (!exists && !unknown) return;
+  status_rate_limiter_.RecordAnswer(job_id, exists, ports_.clock->Now());
+}
+
+bool Controller::ServeLocally(const JobRequest& request, const JobResponseCallback& done) {
+  if (!leader_lifecycle_.HasLoadedLeader()) return false;
+  leader_lifecycle_.current()->HandleJobRequest(request, done);
   on_work();
   return true;
 }
 
+std::string Controller::RemoteLeader() const {
+  std::string leader = peer_network_.membership().Leader();
+  return leader == settings_.label ? std::string() : leader;
+}
+
 void Controller::HandleJobRequest(JobRequest request, JobResponseCallback done) {
-  const bool status = request.operation == JobOperation::kGet;
-  if (status && !AdmitStatusRequest(request.job_id)) {
+  if (request.operation == JobOperation::kGet && !AdmitStatusRequest(request.job_id)) {
     done(UnavailableResponse("too many status requests at once", kStatusRetryAfterSeconds));
     return;
   }
-  auto answered = [this, job = request.job_id,
-                   done = std::move(done)](const JobResponse& response) {
-    if (response.status == 200 || response.status == 201 || response.status == 404) {
-      status_rate_limiter_.RecordAnswer(job, response.status != 404, ports_.clock->Now());
-    }
+  auto respond = [this, job_id = request.job_id,
+                  done = std::move(done)](const JobResponse& response) {
+    RecordStatusResponse(job_id, response);
     done(response);
   };
-  if (ServeHere(request, answered)) return;
-  const std::string leader = peer_network_.membership().Leader();
-  if (leader.empty() || leader == settings_.label) {
-    answered(NoLeaderResponse());
+  if (!ServeLocally(request, respond)) ForwardJobRequest(std::move(request), std::move(respond));
+}
+
+void Controller::ForwardJobRequest(JobRequest request, JobResponseCallback done) {
+  if (RemoteLeader().empty()) {
+    done(NoLeaderResponse());
     return;
   }
-  forwarder_.Send(std::move(request),
-                  status ? kStatusForwardTimeoutSeconds : kSubmitForwardTimeoutSeconds,
-                  std::move(answered));
+  const double timeout_s = request.operation == JobOperation::kGet ? kStatusForwardTimeoutSeconds
+                                                                   : kSubmitForwardTimeoutSeconds;
+  forwarder_.Send(std::move(request), timeout_s, std::move(done));
 }
 
 void Controller::HandleHeartbeat(Heartbeat heartbeat, HeartbeatResponseCallback done) {
-  if (leader_) {
-    done(leader_->HandleHeartbeat(heartbeat));
+  if (Leader* leader = leader_lifecycle_.current()) {
+    done(leader->HandleHeartbeat(heartbeat));
     on_work();
     return;
   }
-  const std::string to = peer_network_.membership().Leader();
-  if (to.empty() || to == settings_.label) {
-    HeartbeatResponse response;
-    // The way between controllers is shut, but the state service knows who leads:
-    // the worker may reach it.
-    const std::string& known = election_.leader_label();
-    if (known != settings_.label && peer_network_.membership().RefusesConnections(known)) {
-      response.status = 421;
-      response.redirect_to = known;
-    }
-    done(response);
-    return;
+  const std::string leader_label = RemoteLeader();
+  if (leader_label.empty()) {
+    done(NoLeaderHeartbeatResponse());
+  } else {
+    ForwardHeartbeat(leader_label, std::move(heartbeat), std::move(done));
+  }
+}
+
+void Controller::ForwardHeartbeat(const std::string& leader, Heartbeat heartbeat,
+                                  HeartbeatResponseCallback done) {
+  auto respond = [done = std::move(done)](const PeerMessage& message) {
+    const auto* response = std::get_if<HeartbeatResponse>(&message);
+    done(response == nullptr ? HeartbeatResponse() : *response);
+  };
+  peer_network_.rpc().Call(leader, std::move(heartbeat), kHeartbeatForwardTimeoutSeconds,
+                           std::move(respond));
+}
+
+HeartbeatResponse Controller::NoLeaderHeartbeatResponse() const {
+  HeartbeatResponse response;
+  // The controllers may be partitioned while the state service still shows who leads: the worker
+  // may reach that controller.
+  const std::string& leader = election_.leader_label();
+  if (leader != settings_.label && peer_network_.membership().RefusesConnections(leader)) {
+    response.status = http_status::kMisdirectedRequest;
+    response.redirect_to = leader;
   }
-  peer_network_.rpc().Call(to, std::move(heartbeat), kHeartbeatForwardTimeoutSeconds,
-                           [done = std::move(done)](PeerMessage body) {
-                             auto* reply = std::get_if<HeartbeatResponse>(&body);
-                             done(reply == nullptr ? HeartbeatResponse() : *reply);
-                           });
-}
-
-void Controller::HandlePeerRequest(PeerMessage body, const PeerRpc::ResponseCallback& reply) {
-  if (auto* ask = std::get_if<JobRequest>(&body)) {
-    if (!ServeHere(*ask, [reply](const JobResponse& response) { reply(response); }))
-      reply(NoLeaderResponse());
-  } else if (auto* report = std::get_if<Heartbeat>(&body)) {
-    if (!leader_) {
-      reply(HeartbeatResponse());
+  return response;
+}
+
+void Controller::HandlePeerRequest(PeerMessage request, const PeerRpc::ResponseCallback& respond) {
+  if (const auto* job_request = std::get_if<JobRequest>(&request)) {
+    const auto done = [respond](const JobResponse& response) { respond(response); };
+    if (!ServeLocally(*job_request, done)) respond(NoLeaderResponse());
+  } else if (const auto* heartbeat = std::get_if<Heartbeat>(&request)) {
+    Leader* leader = leader_lifecycle_.current();
+    if (leader == nullptr) {
+      respond(HeartbeatResponse());
       return;
     }
-    reply(leader_->HandleHeartbeat(*report));
+    respond(leader->HandleHeartbeat(*heartbeat));
     on_work();
   } else {
-    reply(NoResponse());
+    respond(NoResponse());
   }
 }
 
--- a/src/app/controller.h
+++ b/src/app/controller.h
@@ -1,15 +1,23 @@
-// One controller without its connections: election, mesh, leadership and who answers
-// users and workers. Events and time in, actions out through the ports; process.h gives
-// it real connections, the tests scripted ones.
+// One controller without its connections: it takes part in the election, runs the `Leader` while it
+// leads, and otherwise forwards requests to the controller that does.
+//
+// Guarantees and invariants:
+//  - Every request of a user or a worker is answered once: by the leader here, by the leading
+//    controller, or with a status that makes the client retry.
+//  - Heartbeats are answered on behalf of the controllers only while this one holds the leader key.
+//  - Free of I/O: requests, responses and time come in through the methods, actions go out through
+//    `ControllerPorts`. `Process` connects these to sockets, the tests to a simulated cluster.
+//
+// Owned by `Process`. Single-threaded; all times are seconds of the steady clock.
 #pragma once
 
 #include <functional>
 #include <memory>
 #include <optional>
 #include <string>
-#include <vector>
 
 #include "app/health_check.h"
+#include "app/leader_lifecycle.h"
 #include "app/request_forwarder.h"
 #include "app/status_rate_limiter.h"
 #include "config/settings.h"
@@ -21,6 +29,7 @@
 
 namespace deckhall {
 
+// What a controller acts on. All of it must outlive the controller.
 struct ControllerPorts {
   KeyValueStore* key_value_store = nullptr;
   CloudProvider* cloud = nullptr;
@@ -29,8 +38,8 @@
   const Clock* clock = nullptr;
 };
 
-// Status requests that one controller takes in a second: what comes through all of them
-// ends at the leader, and must leave it room for reports, submissions and itself.
+// The status requests per second that one controller admits. Those that all controllers admit end
+// at the leader, and must leave it capacity for heartbeats, submissions and scheduling.
 double StatusRequestsPerSecond(const Settings& settings, const Tuning& tuning);
 
 class Controller : public LeadershipLease {
@@ -38,54 +47,79 @@
   using JobResponseCallback = std::function<void(const JobResponse&)>;
   using HeartbeatResponseCallback = std::function<void(const HeartbeatResponse&)>;
 
+  // `instance` identifies this process; unique, not 0.
   Controller(const ControllerPorts& ports, Settings settings, Tuning tuning, uint64_t instance);
   ~Controller() override;
   Controller(const Controller&) = delete;
   Controller& operator=(const Controller&) = delete;
 
+  // Does all that is due; called often, and soon after `on_work`.
   void Tick();
-  // The policy of this controller's disruption file.
+  // Offers the disruption policy of this controller's own file to all controllers.
   void OfferPolicy(std::shared_ptr<const DisruptionPolicy> policy) {
     policy_replicator_.Offer(std::move(policy));
   }
+  // Serves a user's request. `done` is called once, at once or later; with 503 while no leader can
+  // be reached, or when a status request exceeds the rate limit.
   void HandleJobRequest(JobRequest request, JobResponseCallback done);
+  // Serves a worker's heartbeat. `done` is called once, at once or later; with 503, or with 421 and
+  // the leader's label, while the leader can't be reached.
   void HandleHeartbeat(Heartbeat heartbeat, HeartbeatResponseCallback done);
+  // Whether this controller can serve users; the answer of GET /up.
   bool IsHealthy() const { return health_.IsHealthy(ports_.clock->Now()); }
+
   PeerNetwork& peer_network() { return peer_network_; }
   const Election& election() const { return election_; }
-  // Null while another one leads.
-  const Leader* leader() const { return leader_.get(); }
+  // Null while this controller does not lead.
+  const Leader* leader() const { return leader_lifecycle_.current(); }
 
   bool IsLeaseValid() const override { return election_.IsLeaseValid(); }
   double LeaseValidUntil() const override { return election_.lease_valid_until(); }
 
-  // Something may have become due: Tick soon.
+  // Called when something may have become due: `Tick` should run soon.
   std::function<void()> on_work = [] {};
 
  private:
   void StartLeading(uint64_t term);
   void StopLeading();
-  // Whether the status request is taken; otherwise it is refused at once.
-  bool AdmitStatusRequest(const std::string& job);
-  // Serves the request if this controller leads.
-  bool ServeHere(const JobRequest& request, const JobResponseCallback& done);
+  LeaderPorts BuildLeaderPorts();
+  // The zone of the controller that led before this one; empty when unknown.
+  std::string FormerLeaderZone() const;
+  // Tells the peers whether this controller leads.
+  void AnnounceLeadership();
+  void TickLeader();
+  // Lets another controller lead when most workers can't be reached from this one.
+  void ResignIfWorkersUnreachable();
+  // Stops leading when a peer announced a higher term.
+  void HandleHigherTerm(uint64_t term);
+
+  // Whether the rate limit admits a status request about the job.
+  bool AdmitStatusRequest(const std::string& job_id);
+  void LogStatusRefusal(double now);
+  // Tells the rate limiter what the user was told about the job.
+  void RecordStatusResponse(const std::string& job_id, const JobResponse& response);
+  // Serves the request if this controller leads; otherwise returns false and drops `done`.
+  bool ServeLocally(const JobRequest& request, const JobResponseCallback& done);
+  void ForwardJobRequest(JobRequest request, JobResponseCallback done);
+  void ForwardHeartbeat(const std::string& leader, Heartbeat heartbeat,
+                        HeartbeatResponseCallback done);
+  // The response to a heartbeat while no leader can be reached.
+  HeartbeatResponse NoLeaderHeartbeatResponse() const;
+  // The label of another controller that leads; empty when none is known.
+  std::string RemoteLeader() const;
+
+  // Serves a request that a peer forwarded or sent to this controller.
   void HandlePeerRequest(PeerMessage request, const PeerRpc::ResponseCallback& respond);
 
   ControllerPorts ports_;
   Settings settings_;
   Tuning tuning_;
   Election election_;
-  std::unique_ptr<Leader> leader_;
-  struct RetiredLeader {
-    double retired_at;
-    std::unique_ptr<Leader> leader;
-  };
-  std::vector<RetiredLeader> retired_leaders_;
+  LeaderLifecycle leader_lifecycle_;
   PeerNetwork peer_network_;
   HealthCheck health_;
   RequestForwarder forwarder_;
   PolicyReplicator policy_replicator_;
-  double elected_at_ = 0;
   StatusRateLimiter status_rate_limiter_;
   std::optional<double> refusal_logged_at_;
 };
--- a/src/app/health_check.h
+++ b/src/app/health_check.h
@@ -1,34 +1,50 @@
-// Whether this node can serve users: it, or a node it can reach, leads; or its
-// peers are there and one of them soon will. Changes slowly, since the load
-// balancer does.
+// Whether this controller can serve users, as reported by GET /up.
+//
+// It can while it leads with a valid lease or knows of another leader, and during a failover while
+// its peers are alive and one of them will soon lead. It becomes unhealthy only after a while,
+// since the load balancer is slow to take a controller back (PROTOCOL, "Users -> controller
+// nodes").
+//
+// Owned by `Controller`. All times are seconds of the steady clock.
 #pragma once
 
 #include <string>
+#include <utility>
 
 namespace deckhall {
 
 class HealthCheck {
  public:
-  explicit HealthCheck(std::string self) : self_(std::move(self)) {}
-
-  // `leader` is the node that leads or holds on, as far as known here. A holder
-  // that lost the state service, and with it its own trust, is none to users,
-  // though it goes on answering its workers for a while.
-  void Update(double now, const std::string& leader, bool trusted, double peers_silent_s) {
-    if (!leader.empty() && (leader != self_ || trusted)) leader_seen_at_ = now;
-    if (leader_seen_at_ >= 0 && peers_silent_s < kIsolatedSeconds) peers_seen_at_ = now;
+  // `label` is that of this controller.
+  explicit HealthCheck(std::string label) : label_(std::move(label)) {}
+
+  // `leader`: the label of the known leader, empty without one. `lease_valid`: this controller
+  // holds a valid lease. One that still holds the leader key without a valid lease has lost the
+  // state service and serves no users, though it answers its workers for a while.
+  // `seconds_since_peer_response`: the time since any peer last responded.
+  void Update(double now, const std::string& leader, bool lease_valid,
+              double seconds_since_peer_response) {
+    const bool can_serve = !leader.empty() && (leader != label_ || lease_valid);
+    if (can_serve) leader_known_at_ = now;
+    if (HasKnownLeader() && seconds_since_peer_response < kIsolationTimeoutSeconds) {
+      peers_alive_at_ = now;
+    }
   }
+
   bool IsHealthy(double now) const {
-    return leader_seen_at_ >= 0 &&
-           (now - leader_seen_at_ < kIsolatedSeconds || now - peers_seen_at_ < kIsolatedSeconds);
+    return HasKnownLeader() && (now - leader_known_at_ < kIsolationTimeoutSeconds ||
+                                now - peers_alive_at_ < kIsolationTimeoutSeconds);
   }
 
-  static constexpr double kIsolatedSeconds = 3;
-
  private:
-  std::string self_;
-  double leader_seen_at_ = -1;
-  double peers_seen_at_ = -1e9;
+  static constexpr double kIsolationTimeoutSeconds = 3;
+
+  // Whether there has been a leader since this process started.
+  bool HasKnownLeader() const { return leader_known_at_ >= 0; }
+
+  std::string label_;
+  double leader_known_at_ = -1;   // negative: never
+  double peers_alive_at_ = -1e9;  // long before any time of the steady clock: never
 };
 
 }  // namespace deckhall
--- /dev/null
+++ b/src/app/leader_lifecycle.h
@@ -0,0 +1,56 @@
+// The lifecycle of this controller's `Leader` objects: one is started for each term that the
+// controller leads, retired when the term ends, and destroyed some time later.
+//
+// Invariants: at most one leader is current; a retired one takes no requests and sends none, but it
+// stays in memory until the last of its requests has been answered or has timed out, because their
+// callbacks point to it. So a leader may be retired from within one of its own methods.
+//
+// Owned by `Controller`. Single-threaded; all times are seconds of the steady clock.
+#pragma once
+
+#include <cstdint>
+#include <memory>
+#include <vector>
+
+#include "config/settings.h"
+#include "config/tuning.h"
+#include "leader/leader.h"
+#include "net/clock.h"
+
+namespace deckhall {
+
+class LeaderLifecycle {
+ public:
+  // The pointers must outlive this object.
+  LeaderLifecycle(const Clock* clock, const Settings* settings, const Tuning* tuning);
+
+  // Creates the leader of a term and makes it current. The caller sets its callbacks and starts it.
+  Leader* CreateLeader(const LeaderPorts& ports, uint64_t term);
+  // Retires the current leader, if there is one.
+  void RetireLeader();
+  // Destroys the leaders that retired long enough before `now`.
+  void DestroyRetiredLeaders(double now);
+
+  // The leader of the present term; null while this controller does not lead.
+  Leader* current() { return current_.get(); }
+  const Leader* current() const { return current_.get(); }
+  // Whether there is a leader that has loaded the stored records, and so can serve users.
+  bool HasLoadedLeader() const { return current_ && current_->loaded(); }
+  // When the latest term of this controller began; 0 before the first.
+  double elected_at() const { return elected_at_; }
+
+ private:
+  struct RetiredLeader {
+    double retired_at;
+    std::unique_ptr<Leader> leader;
+  };
+
+  const Clock* clock_;
+  const Settings* settings_;
+  const Tuning* tuning_;
+  std::unique_ptr<Leader> current_;
+  std::vector<RetiredLeader> retired_;
+  double elected_at_ = 0;
+};
+
+}  // namespace deckhall
--- a/src/app/process.cc
+++ b/src/app/process.cc
@@ -3,23 +3,25 @@
 #include <spdlog/spdlog.h>
 
 #include <random>
+#include <utility>
 
 namespace deckhall {
 namespace {
 
-constexpr double kTickSeconds = 0.02;
-constexpr double kLogIntervalSeconds = 60;
-constexpr double kPolicyCheckIntervalSeconds = 2;  // seconds
+constexpr double kTickIntervalSeconds = 0.02;
+constexpr double kHousekeepingIntervalSeconds = 60;
+constexpr double kPolicyCheckIntervalSeconds = 2;
 
+// A random id of this process; never 0.
 uint64_t RandomInstance() {
   std::random_device device;
   return (static_cast<uint64_t>(device()) << 32 | device()) | 1;
 }
 
 HttpServerLimits ServerLimits(const Settings& settings) {
-  HttpServerLimits l;
-  l.connections = static_cast<size_t>(ServedConnections(settings));
-  return l;
+  HttpServerLimits limits;
+  limits.connections = static_cast<size_t>(ServedConnections(settings));
+  return limits;
 }
 
 }  // namespace
@@ -34,16 +36,10 @@
       controller_(
           {&key_value_client_, &cloud_client_, &worker_client_, &peer_connections_, &clock_},
           settings, tuning, RandomInstance()),
-      http_api_(&clock_, {[this](JobRequest a, HttpApi::JobResponseCallback d) {
-                            controller_.HandleJobRequest(std::move(a), std::move(d));
-                          },
-                          [this](Heartbeat heartbeat, HttpApi::HeartbeatResponseCallback d) {
-                            controller_.HandleHeartbeat(std::move(heartbeat), std::move(d));
-                          },
-                          [this] { return controller_.IsHealthy(); }}),
+      http_api_(&clock_, BuildBackend()),
       server_(loop, settings.serve_on, ServerLimits(settings),
-              [this](const HttpMessage& message, const HttpServer::Reply& r) {
-                http_api_.Handle(message, r);
+              [this](const HttpMessage& request, const HttpServer::Reply& reply) {
+                http_api_.Handle(request, reply);
               }),
       tick_timer_(loop, [this] { Tick(); }),
       immediate_tick_(loop, [this] { controller_.Tick(); }),
@@ -53,21 +49,40 @@
     if (!immediate_tick_.active()) immediate_tick_.Start(0);
   };
   peer_connections_.Start(&controller_.peer_network());
-  next_log_at_ = clock_.Now() + kLogIntervalSeconds;
-  tick_timer_.Start(0, kTickSeconds);
-  spdlog::info("{} up", settings.label);
+  next_housekeeping_at_ = clock_.Now() + kHousekeepingIntervalSeconds;
+  tick_timer_.Start(0, kTickIntervalSeconds);
+  spdlog::info("controller={}: started", settings.label);
+}
+
+HttpApi::Backend Process::BuildBackend() {
+  HttpApi::Backend backend;
+  backend.handle_job_request = [this](JobRequest request, HttpApi::JobResponseCallback done) {
+    controller_.HandleJobRequest(std::move(request), std::move(done));
+  };
+  backend.handle_heartbeat = [this](Heartbeat heartbeat, HttpApi::HeartbeatResponseCallback done) {
+    controller_.HandleHeartbeat(std::move(heartbeat), std::move(done));
+  };
+  backend.is_healthy = [this] { return controller_.IsHealthy(); };
+  return backend;
 }
 
 void Process::Tick() {
   controller_.Tick();
   const double now = clock_.Now();
-  if (now >= next_policy_check_at_) {
-    next_policy_check_at_ = now + kPolicyCheckIntervalSeconds;
-    if (auto policy = policy_file_.ReadIfChanged()) controller_.OfferPolicy(std::move(policy));
-  }
-  if (now < next_log_at_) return;
-  next_log_at_ = now + kLogIntervalSeconds;
-  http_api_.LogSubmitLatency();
+  CheckPolicyFile(now);
+  DoHousekeeping(now);
+}
+
+void Process::CheckPolicyFile(double now) {
+  if (now < next_policy_check_at_) return;
+  next_policy_check_at_ = now + kPolicyCheckIntervalSeconds;
+  if (auto policy = policy_file_.ReadIfChanged()) controller_.OfferPolicy(std::move(policy));
+}
+
+void Process::DoHousekeeping(double now) {
+  if (now < next_housekeeping_at_) return;
+  next_housekeeping_at_ = now + kHousekeepingIntervalSeconds;
+  http_api_.LogSubmissionStatistics();
   worker_client_.Trim();
 }
 
--- a/src/app/process.h
+++ b/src/app/process.h
@@ -1,7 +1,12 @@
-// The process: the controller with its event loop, connections and clock.
+// The controller process: connects a `Controller` and its `HttpApi` to the event loop, the sockets
+// and the system's clocks. It only wires things; every decision is in the parts.
+//
+// Owned by main(). The parts are destroyed in reverse order of their declaration, so each may refer
+// to those above it.
 #pragma once
 
 #include <memory>
+#include <string>
 
 #include "api/http_api.h"
 #include "app/controller.h"
@@ -13,6 +18,7 @@
 
 namespace deckhall {
 
+// The clocks of the operating system.
 class SystemClock : public Clock {
  public:
   double Now() const override { return SteadySeconds(); }
@@ -21,14 +27,21 @@
 
 class Process {
  public:
-  // `disruption_file` may be empty: then there are neither budgets nor drains.
+  // Listens on the addresses in the settings and serves requests while the loop runs. With an empty
+  // `disruption_file` there are neither budgets nor drains. Throws std::runtime_error when an
+  // address can't be used.
   Process(Loop* loop, const Settings& settings, const Tuning& tuning,
           const std::string& disruption_file);
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
  private:
+  // The functions through which `http_api_` reaches `controller_`.
+  HttpApi::Backend BuildBackend();
   void Tick();
+  void CheckPolicyFile(double now);
+  // Logs statistics and closes connections that are not needed any more.
+  void DoHousekeeping(double now);
 
   SystemClock clock_;
   KeyValueClient key_value_client_;
@@ -39,10 +52,10 @@
   HttpApi http_api_;
   HttpServer server_;
   Timer tick_timer_;
-  Timer immediate_tick_;
+  Timer immediate_tick_;  // at the end of this turn of the loop, when the controller has work
   Settings settings_;
   PolicyFile policy_file_;
-  double next_log_at_ = 0;
+  double next_housekeeping_at_ = 0;
   double next_policy_check_at_ = 0;
 };
 
--- a/src/app/request_forwarder.cc
+++ b/src/app/request_forwarder.cc
@@ -7,61 +7,62 @@
 namespace deckhall {
 namespace {
 
-// So long a request waits for the next leader once the one that was asked is gone.
-constexpr double kLeaderlessFor = 1;  // seconds
+// Lets a failover end before users are told to retry.
+constexpr double kLeaderlessGracePeriodSeconds = 1;
 
 }  // namespace
 
 JobResponse NoLeaderResponse() { return UnavailableResponse("no leader can be reached"); }
 
 RequestForwarder::RequestForwarder(PeerNetwork* peer_network, const Clock* clock,
-                                   ServeHere serve_here)
-    : peer_network_(peer_network), clock_(clock), serve_here_(std::move(serve_here)) {}
+                                   LocalServer serve_locally)
+    : peer_network_(peer_network), clock_(clock), serve_locally_(std::move(serve_locally)) {}
 
-void RequestForwarder::Send(JobRequest request, double timeout_s, Done done) {
+void RequestForwarder::Send(JobRequest request, double timeout_s, JobResponseCallback done) {
   Tick();
-  const uint64_t id = next_id_++;
-  pending_[id] = {std::move(request), std::move(done), "", clock_->Now() + timeout_s};
-  SendToController(id, leader_);
+  const uint64_t request_id = next_request_id_++;
+  pending_[request_id] = {std::move(request), std::move(done), "", clock_->Now() + timeout_s};
+  SendTo(leader_, request_id);
 }
 
-void RequestForwarder::SendToController(uint64_t id, const std::string& target) {
-  PendingRequest& pending = pending_.at(id);
+void RequestForwarder::SendTo(const std::string& target, uint64_t request_id) {
+  PendingRequest& pending = pending_.at(request_id);
   pending.target = target;
-  const double remaining = pending.deadline - clock_->Now();
-  peer_network_->rpc().Call(target, pending.request, remaining,
-                            [this, id, target](const PeerMessage& body) {
-                              const auto it = pending_.find(id);
-                              // What a former leader says no longer counts: the next one may have
-                              // decided since.
-                              if (it == pending_.end() || it->second.target != target) return;
-                              const auto* response = std::get_if<JobResponse>(&body);
-                              Complete(id, response == nullptr ? NoLeaderResponse() : *response);
-                            });
+  const double remaining_s = pending.deadline - clock_->Now();
+  auto handle_response = [this, request_id, target](const PeerMessage& message) {
+    const auto it = pending_.find(request_id);
+    const bool outdated = it == pending_.end() || it->second.target != target;
+    if (outdated) return;
+    const auto* response = std::get_if<JobResponse>(&message);
+    Complete(request_id, response == nullptr ? NoLeaderResponse() : *response);
+  };
+  peer_network_->rpc().Call(target, pending.request, remaining_s, std::move(handle_response));
 }
 
-void RequestForwarder::Complete(uint64_t id, const JobResponse& response) {
-  const auto it = pending_.find(id);
+void RequestForwarder::Complete(uint64_t request_id, const JobResponse& response) {
+  const auto it = pending_.find(request_id);
   if (it == pending_.end()) return;
-  const Done done = std::move(it->second.done);
+  const JobResponseCallback done = std::move(it->second.done);
   pending_.erase(it);
   done(response);
 }
 
 void RequestForwarder::Redirect(const std::string& leader) {
   std::vector<uint64_t> elsewhere;
-  for (const auto& [id, pending] : pending_) {
-    if (pending.target != leader) elsewhere.push_back(id);
+  for (const auto& [request_id, pending] : pending_) {
+    if (pending.target != leader) elsewhere.push_back(request_id);
   }
-  for (const uint64_t id : elsewhere) {
-    const JobRequest request = pending_.at(id).request;
-    const auto done = [this, id](const JobResponse& response) { Complete(id, response); };
-    if (!serve_here_(request, done)) {
-      SendToController(id, leader);
+  for (const uint64_t request_id : elsewhere) {
+    const JobRequest request = pending_.at(request_id).request;
+    const auto done = [this, request_id](const JobResponse& response) {
+      Complete(request_id, response);
+    };
+    if (!serve_locally_(request, done)) {
+      SendTo(leader, request_id);
       continue;
     }
-    // Unless it was answered at once: late answers to what was sent before are dropped.
-    const auto it = pending_.find(id);
+    // If it is still pending, responses of its former target are outdated from now on.
+    const auto it = pending_.find(request_id);
     if (it != pending_.end()) it->second.target = leader;
   }
 }
@@ -74,7 +75,11 @@
     leaderless_since_ = now;
     if (!leader.empty()) Redirect(leader);
   }
-  if (!leader_.empty() || now < leaderless_since_ + kLeaderlessFor) return;
+  const bool grace_period_over = now >= leaderless_since_ + kLeaderlessGracePeriodSeconds;
+  if (leader_.empty() && grace_period_over) FailAll();
+}
+
+void RequestForwarder::FailAll() {
   while (!pending_.empty()) Complete(pending_.begin()->first, NoLeaderResponse());
 }
 
--- a/src/app/request_forwarder.h
+++ b/src/app/request_forwarder.h
@@ -1,4 +1,13 @@
-// Passes users' requests on to the leading controller.
+// Forwards users' requests to the leading controller, and forwards them again after a failover.
+//
+// Guarantees and invariants:
+//  - The callback of each request is called once.
+//  - Users' requests may be executed twice without harm, so a request that is still pending when
+//    another controller takes over is sent to that one, and only responses of the present leader
+//    count. An older one might contradict what the new leader decided since.
+//  - While there is no leader for a while, all pending requests get 503, and users retry.
+//
+// Owned by `Controller`. Single-threaded; all times are seconds of the steady clock.
 #pragma once
 
 #include <cstdint>
@@ -12,46 +21,46 @@
 
 namespace deckhall {
 
-// Requests may be carried out twice without harm. So one that the leader has not answered
-// when another controller leads is sent again to that one, and the first answer of the new
-// leader counts. When nobody leads any more, the user gets 503 soon and comes again.
 class RequestForwarder {
  public:
-  using Done = std::function<void(const JobResponse&)>;
-  // Serves a request here; false when this controller does not lead.
-  using ServeHere = std::function<bool(const JobRequest&, const Done&)>;
+  using JobResponseCallback = std::function<void(const JobResponse&)>;
+  // Serves a request on this controller; false when it does not lead.
+  using LocalServer = std::function<bool(const JobRequest&, const JobResponseCallback&)>;
 
-  RequestForwarder(PeerNetwork* peer_network, const Clock* clock, ServeHere serve_here);
+  // The pointers must outlive this object.
+  RequestForwarder(PeerNetwork* peer_network, const Clock* clock, LocalServer serve_locally);
 
-  // Calls `done` once: at the latest after `timeout_s`, or, if this controller leads by then,
-  // when the leader here has decided.
-  void Send(JobRequest request, double timeout_s, Done done);
+  // Sends the request to the leader. `done` is called after `timeout_s` seconds at the latest, or,
+  // if this controller leads by then, when its own leader has decided.
+  void Send(JobRequest request, double timeout_s, JobResponseCallback done);
   // Follows changes of the leader; called often.
   void Tick();
 
  private:
   struct PendingRequest {
     JobRequest request;
-    Done done;
-    std::string target;  // the controller that was asked last
+    JobResponseCallback done;
+    std::string target;  // the controller that it was last sent to
     double deadline = 0;
   };
 
-  void SendToController(uint64_t id, const std::string& target);
-  void Complete(uint64_t id, const JobResponse& response);
-  // Sends on what another controller than the present leader was asked.
+  void SendTo(const std::string& target, uint64_t request_id);
+  void Complete(uint64_t request_id, const JobResponse& response);
+  // Sends the requests that are pending at other controllers to the new leader.
   void Redirect(const std::string& leader);
+  // Completes all pending requests with 503.
+  void FailAll();
 
   PeerNetwork* peer_network_;
   const Clock* clock_;
-  ServeHere serve_here_;
-  std::map<uint64_t, PendingRequest> pending_;
-  uint64_t next_id_ = 1;
+  LocalServer serve_locally_;
+  std::map<uint64_t, PendingRequest> pending_;  // by request id
+  uint64_t next_request_id_ = 1;
   std::string leader_;           // as last seen; empty: none
-  double leaderless_since_ = 0;  // while there is none
+  double leaderless_since_ = 0;  // of meaning only while there is no leader
 };
 
-// The answer while no leader can be reached.
+// The response while no leader can be reached: 503.
 JobResponse NoLeaderResponse();
 
 }  // namespace deckhall
--- a/src/leader/election.cc
+++ b/src/leader/election.cc
@@ -3,49 +3,83 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <utility>
 
 namespace deckhall {
 namespace {
 
-constexpr int kWatchHoldMs = 10000;
+constexpr double kMillisecondsPerSecond = 1000.0;
 
-std::string EncodeLeaderKey(const ElectionOptions& o, uint64_t lease) {
-  rapidjson::StringBuffer buffer;
-  JsonWriter writer(buffer);
-  writer.StartObject();
-  PutString(writer, "label", o.label);
-  writer.Key("instance");
-  writer.Uint64(o.instance);
-  writer.Key("lease");
-  writer.Uint64(lease);
-  writer.EndObject();
-  return buffer.GetString();
-}
+// Pauses before the next step. They vary, so that controllers don't act in lockstep.
+constexpr double kUnavailableRetrySeconds = 0.3;
+constexpr double kCampaignDelaySeconds = 0.03;
+constexpr double kConflictRetrySeconds = 0.02;
+constexpr double kIndeterminateRetrySeconds = 0.1;
+constexpr double kRevocationRetrySeconds = 0.02;
+constexpr double kLeadershipLossPauseSeconds = 0.1;
+constexpr double kResignedRereadSeconds = 0.3;  // during the pause after a resignation
+constexpr double kShortestPauseFactor = 0.7;
+constexpr double kLongestPauseFactor = 1.3;
+
+constexpr int kWatchHoldMilliseconds = 10000;
+// A watch that returns sooner may do so again and again, which would use up the request budget.
+constexpr double kShortWatchSeconds = 0.1;
+constexpr double kShortWatchRetrySeconds = 0.05;
+
+// A keep-alive that hangs must not hold back the next one.
+constexpr int kMaxKeepAlivesInFlight = 3;
+constexpr double kKeepAliveTimeoutFraction = 0.6;  // of the lease's time to live
+constexpr double kKeepAliveRetrySeconds = 0.15;
+
+constexpr uint64_t kNoLease = 0;
+constexpr uint64_t kAbsentVersion = 0;  // precondition: the key does not exist
 
 }  // namespace
 
-Election::Election(KeyValueStore* state, const Clock* clock, ElectionOptions options)
-    : key_value_store_(state),
+Election::Election(KeyValueStore* key_value_store, const Clock* clock, ElectionOptions options)
+    : key_value_store_(key_value_store),
       clock_(clock),
       options_(std::move(options)),
       random_(options_.instance) {}
 
-void Election::RetryAfter(double after_s) {
-  std::uniform_real_distribution<double> jitter(0.7, 1.3);
-  next_action_at_ = clock_->Now() + after_s * jitter(random_);
+void Election::EnterStage(Stage stage, double delay_s) {
+  stage_ = stage;
+  DelayNextStep(delay_s);
+}
+
+void Election::DelayNextStep(double delay_s) {
+  std::uniform_real_distribution<double> factor(kShortestPauseFactor, kLongestPauseFactor);
+  next_step_at_ = clock_->Now() + delay_s * factor(random_);
+}
+
+KeyValueStore::Done Election::BeginCall(
+    std::function<void(const KeyValueResponse&)> handle_response) {
+  call_in_flight_ = true;
+  const uint64_t epoch = ++call_epoch_;
+  return [this, epoch,
+          handle_response = std::move(handle_response)](const KeyValueResponse& response) {
+    if (epoch != call_epoch_) return;
+    call_in_flight_ = false;
+    handle_response(response);
+  };
+}
+
+double Election::LeaseTtlSeconds() const { return options_.lease_ttl_ms / kMillisecondsPerSecond; }
+
+double Election::LeaseValidUntil(double requested_at) const {
+  return requested_at + LeaseTtlSeconds() * (1 - options_.clock_drift);
 }
 
 void Election::Tick() {
   const double now = clock_->Now();
   if (stage_ == Stage::kLeading) {
-    if (now >= next_action_at_) KeepAliveLease();
+    if (now >= next_step_at_) KeepAliveLease();
     return;
   }
-  if (call_in_flight_ || now < next_action_at_) return;
+  if (call_in_flight_ || now < next_step_at_) return;
   if (stage_ == Stage::kGrantingLease && now < campaign_not_before_) {
-    // Somebody else may hold it by now.
-    stage_ = Stage::kReadingKey;
-    RetryAfter(0.3);
+    // Another controller may have acquired the key during the pause.
+    EnterStage(Stage::kReadingKey, kResignedRereadSeconds);
     return;
   }
   if (stage_ == Stage::kReadingKey) ReadLeaderKey();
@@ -53,122 +87,120 @@
 }
 
 void Election::ReadLeaderKey() {
-  call_in_flight_ = true;
-  const uint64_t epoch = ++call_epoch_;
-  key_value_store_->Get(kKey, [this, epoch](const KeyValueResponse& response) {
-    if (epoch != call_epoch_) return;
-    call_in_flight_ = false;
-    HandleLeaderKey(response);
-  });
+  key_value_store_->Get(kKey, BeginCall([this](const KeyValueResponse& response) {
+                          HandleLeaderKeyResponse(response);
+                        }));
 }
 
-void Election::HandleLeaderKey(const KeyValueResponse& response) {
+void Election::HandleLeaderKeyResponse(const KeyValueResponse& response) {
   if (response.status != KeyValueStatus::kOk) {
-    RetryAfter(0.3);
-    return;
+    DelayNextStep(kUnavailableRetrySeconds);
+  } else if (response.found) {
+    HandleHeldKey(response.entries[0]);
+  } else {
+    HandleAbsentKey(response.number);
   }
-  if (!response.found) {
-    // Whoever led before does no more: every term so far is at most the revision.
-    leader_label_.clear();
-    if (on_term_bound) on_term_bound(response.number);
-    stage_ = Stage::kGrantingLease;
-    RetryAfter(0.03);
+}
+
+void Election::HandleAbsentKey(uint64_t revision) {
+  leader_label_.clear();
+  // All former terms are over, and each was a revision up to this one.
+  if (on_term_bound) on_term_bound(revision);
+  EnterStage(Stage::kGrantingLease, kCampaignDelaySeconds);
+}
+
+void Election::HandleHeldKey(const KeyValue& entry) {
+  const uint64_t term = entry.version;
+  if (on_term_bound) on_term_bound(term);
+  const LeaderKey key = DecodeLeaderKey(entry.value);
+  if (IsOwnAcquisition(key)) {
+    lease_valid_until_ = LeaseValidUntil(lease_requested_at_);
+    BecomeLeader(term);
     return;
   }
-  const KeyValue& row = response.entries[0];
-  if (on_term_bound) on_term_bound(row.version);
-  rapidjson::Document doc;
-  std::string label;
-  uint64_t instance = 0;
-  uint64_t lease = 0;
-  if (ParseJson(row.value, &doc)) {
-    JsonString(doc, "label", &label);
-    JsonU64(doc, "instance", &instance);
-    JsonU64(doc, "lease", &lease);
-  }
-  if (instance == options_.instance) {
-    // Our own claim, whose answer was lost.
-    if (lease == lease_id_ && lease_id_ != 0) {
-      lease_valid_until_ =
-          lease_requested_at_ + options_.lease_ttl_ms / 1000.0 * (1 - options_.clock_drift);
-      BecomeLeader(row.version);
-      return;
-    }
-  }
-  leader_label_ = former_leader_label_ = label;
-  leader_term_ = row.version;
-  if (label == options_.label && instance != options_.instance && lease != 0) {
-    // An earlier process under our own label: it ended, or we could not have its
-    // address. Its lease need not run out.
-    spdlog::info("term {} was held by this node's earlier process: ending its lease", row.version);
-    key_value_store_->RevokeLease(lease, [](const KeyValueResponse&) {});
-    RetryAfter(0.02);
+  leader_label_ = former_leader_label_ = key.label;
+  leader_term_ = term;
+  if (IsFromFormerProcess(key)) {
+    // That process has ended, or this one could not listen on its address: no need to wait until
+    // its lease expires.
+    spdlog::info("term={}: revoking the lease of this controller's former process", term);
+    RevokeLease(key.lease_id);
+    DelayNextStep(kRevocationRetrySeconds);
     return;
   }
   stage_ = Stage::kWatchingKey;
-  WatchKey(row.version);
+  WatchKey(term);
+}
+
+bool Election::IsOwnAcquisition(const LeaderKey& key) const {
+  return key.instance == options_.instance && key.lease_id == lease_id_ && lease_id_ != kNoLease;
+}
+
+bool Election::IsFromFormerProcess(const LeaderKey& key) const {
+  return key.label == options_.label && key.instance != options_.instance &&
+         key.lease_id != kNoLease;
 }
 
 void Election::WatchKey(uint64_t revision) {
-  call_in_flight_ = true;
-  const uint64_t epoch = ++call_epoch_;
-  const double began = clock_->Now();
-  key_value_store_->Watch(kKey, revision, kWatchHoldMs,
-                          [this, epoch, began](const KeyValueResponse& response) {
-                            if (epoch != call_epoch_) return;
-                            call_in_flight_ = false;
-                            // Whatever came, the key itself says who holds it.
-                            stage_ = Stage::kReadingKey;
-                            const bool quick = clock_->Now() - began < 0.1;
-                            if (response.status == KeyValueStatus::kOk && !quick) {
-                              next_action_at_ = 0;
-                              ReadLeaderKey();
-                            } else {
-                              RetryAfter(response.status == KeyValueStatus::kOk ? 0.05 : 0.3);
-                            }
-                          });
+  auto handle_response = BeginCall([this, since = clock_->Now()](const KeyValueResponse& response) {
+    HandleWatchResponse(response, since);
+  });
+  key_value_store_->Watch(kKey, revision, kWatchHoldMilliseconds, std::move(handle_response));
+}
+
+void Election::HandleWatchResponse(const KeyValueResponse& response, double watched_since) {
+  // Whatever the response says, the key itself shows who holds it now.
+  stage_ = Stage::kReadingKey;
+  const bool short_watch = clock_->Now() - watched_since < kShortWatchSeconds;
+  if (response.status != KeyValueStatus::kOk) {
+    DelayNextStep(kUnavailableRetrySeconds);
+  } else if (short_watch) {
+    DelayNextStep(kShortWatchRetrySeconds);
+  } else {
+    next_step_at_ = 0;
+    ReadLeaderKey();
+  }
 }
 
 void Election::Campaign() {
-  call_in_flight_ = true;
-  const uint64_t epoch = ++call_epoch_;
-  const double sent = clock_->Now();
-  key_value_store_->GrantLease(options_.lease_ttl_ms,
-                               [this, epoch, sent](const KeyValueResponse& response) {
-                                 if (epoch != call_epoch_) return;
-                                 call_in_flight_ = false;
-                                 if (response.status != KeyValueStatus::kOk) {
-                                   stage_ = Stage::kReadingKey;
-                                   RetryAfter(0.3);
-                                   return;
-                                 }
-                                 AcquireKey(response.number, sent);
-                               });
-}
-
-void Election::AcquireKey(uint64_t lease, double sent) {
+  auto handle_response =
+      BeginCall([this, requested_at = clock_->Now()](const KeyValueResponse& response) {
+        HandleLeaseResponse(response, requested_at);
+      });
+  key_value_store_->GrantLease(options_.lease_ttl_ms, std::move(handle_response));
+}
+
+void Election::HandleLeaseResponse(const KeyValueResponse& response, double requested_at) {
+  if (response.status == KeyValueStatus::kOk) {
+    AcquireKey(response.number, requested_at);
+  } else {
+    EnterStage(Stage::kReadingKey, kUnavailableRetrySeconds);
+  }
+}
+
+void Election::AcquireKey(uint64_t lease_id, double lease_requested_at) {
   stage_ = Stage::kAcquiringKey;
-  call_in_flight_ = true;
-  lease_id_ = lease;
-  lease_requested_at_ = sent;
-  const uint64_t epoch = ++call_epoch_;
+  lease_id_ = lease_id;
+  lease_requested_at_ = lease_requested_at;
+  const LeaderKey key{options_.label, options_.instance, lease_id};
   Transaction transaction;
-  transaction.preconditions.push_back({kKey, 0});
-  transaction.mutations.push_back({kKey, EncodeLeaderKey(options_, lease), lease});
-  key_value_store_->Commit(transaction, [this, epoch](const KeyValueResponse& response) {
-    if (epoch != call_epoch_) return;
-    call_in_flight_ = false;
-    if (response.status == KeyValueStatus::kOk) {
-      lease_valid_until_ =
-          lease_requested_at_ + options_.lease_ttl_ms / 1000.0 * (1 - options_.clock_drift);
-      BecomeLeader(response.number);
-      return;
-    }
-    // Lost, or not known: the key tells. A claim that is applied late dies with
-    // its lease, which nobody renews.
-    stage_ = Stage::kReadingKey;
-    RetryAfter(response.status == KeyValueStatus::kConflict ? 0.02 : 0.1);
-  });
+  transaction.preconditions.push_back({kKey, kAbsentVersion});
+  transaction.mutations.push_back({kKey, EncodeLeaderKey(key), lease_id});
+  key_value_store_->Commit(transaction, BeginCall([this](const KeyValueResponse& response) {
+                             HandleAcquisitionResponse(response);
+                           }));
+}
+
+void Election::HandleAcquisitionResponse(const KeyValueResponse& response) {
+  if (response.status == KeyValueStatus::kOk) {
+    lease_valid_until_ = LeaseValidUntil(lease_requested_at_);
+    BecomeLeader(response.number);
+    return;
+  }
+  // Another controller was first, or the outcome is unknown: the key shows it. If the transaction
+  // is applied late, the key disappears with its lease, which nobody keeps alive.
+  const bool conflict = response.status == KeyValueStatus::kConflict;
+  EnterStage(Stage::kReadingKey, conflict ? kConflictRetrySeconds : kIndeterminateRetrySeconds);
 }
 
 void Election::BecomeLeader(uint64_t term) {
@@ -178,52 +210,57 @@
   keep_alives_in_flight_ = 0;
   term_ = leader_term_ = term;
   leader_label_ = options_.label;
-  next_action_at_ = 0;
-  spdlog::info("leading: term {}", term);
+  next_step_at_ = 0;
+  spdlog::info("term={}: acquired leadership", term);
   if (on_elected) on_elected(term);
 }
 
 void Election::KeepAliveLease() {
-  // A renewal that hangs must not keep the next one back; two may be on their way.
-  if (keep_alives_in_flight_ >= 3) return;
-  const double sent = clock_->Now();
-  next_action_at_ = sent + options_.keep_alive_interval_s;
+  if (keep_alives_in_flight_ >= kMaxKeepAlivesInFlight) return;
+  const double sent_at = clock_->Now();
+  next_step_at_ = sent_at + options_.keep_alive_interval_s;
   ++keep_alives_in_flight_;
   const uint64_t epoch = call_epoch_;
-  key_value_store_->KeepAliveLease(
-      lease_id_, options_.lease_ttl_ms / 1000.0 * 0.6,
-      [this, epoch, sent](const KeyValueResponse& response) {
-        if (epoch != call_epoch_) return;
-        --keep_alives_in_flight_;
-        if (response.status == KeyValueStatus::kOk) {
-          const double until = sent + options_.lease_ttl_ms / 1000.0 * (1 - options_.clock_drift);
-          lease_valid_until_ = std::max(lease_valid_until_, until);
-        } else if (response.status == KeyValueStatus::kConflict) {
-          LoseLeadership("the lease is gone");
-        } else {
-          next_action_at_ = std::min(next_action_at_, clock_->Now() + 0.15);
-        }
-      });
+  key_value_store_->KeepAliveLease(lease_id_, LeaseTtlSeconds() * kKeepAliveTimeoutFraction,
+                                   [this, epoch, sent_at](const KeyValueResponse& response) {
+                                     if (epoch != call_epoch_) return;
+                                     --keep_alives_in_flight_;
+                                     HandleKeepAliveResponse(response, sent_at);
+                                   });
+}
+
+void Election::HandleKeepAliveResponse(const KeyValueResponse& response, double sent_at) {
+  if (response.status == KeyValueStatus::kOk) {
+    lease_valid_until_ = std::max(lease_valid_until_, LeaseValidUntil(sent_at));
+  } else if (response.status == KeyValueStatus::kConflict) {
+    LoseLeadership(LeadershipLossReason::kLeaseExpired);
+  } else {
+    next_step_at_ = std::min(next_step_at_, clock_->Now() + kKeepAliveRetrySeconds);
+  }
+}
+
+void Election::RevokeLease(uint64_t lease_id) {
+  // If that fails, the lease expires by itself.
+  key_value_store_->RevokeLease(lease_id, [](const KeyValueResponse&) {});
 }
 
-void Election::Resign(const char* why, double pause_s) {
+void Election::Resign(LeadershipLossReason reason, double pause_s) {
   if (stage_ != Stage::kLeading) return;
-  const uint64_t lease = lease_id_;
+  const uint64_t lease_id = lease_id_;
   campaign_not_before_ = clock_->Now() + pause_s;
-  LoseLeadership(why);
-  key_value_store_->RevokeLease(lease, [](const KeyValueResponse&) {});
+  LoseLeadership(reason);
+  RevokeLease(lease_id);
 }
 
-void Election::LoseLeadership(const char* why) {
+void Election::LoseLeadership(LeadershipLossReason reason) {
   if (stage_ != Stage::kLeading) return;
-  spdlog::warn("no longer leading term {}: {}", term_, why);
-  stage_ = Stage::kReadingKey;
+  spdlog::warn("term={}: lost leadership: {}", term_, LeadershipLossReasonText(reason));
   ++call_epoch_;
   call_in_flight_ = false;
   lease_valid_until_ = -1;
-  lease_id_ = 0;
+  lease_id_ = kNoLease;
   leader_label_.clear();
-  RetryAfter(0.1);
+  EnterStage(Stage::kReadingKey, kLeadershipLossPauseSeconds);
   if (on_leadership_lost) on_leadership_lost();
 }
 
--- a/src/leader/election.h
+++ b/src/leader/election.h
@@ -1,6 +1,32 @@
-// Who leads: the holder of one key that is bound to a short lease. The key's
-// revision is the term. The holder trusts its lease by its own clock only,
-// counted from when it sent the renewal.
+// Leader election: at most one controller leads at a time.
+//
+// The leader is the holder of one key in the state service, which is bound to a short lease. The
+// key is created in a transaction that requires its absence; its revision is the term. When the
+// lease expires, the state service removes the key, and the next controller creates it anew with a
+// higher revision.
+//
+// Guarantees and invariants:
+//  - `IsLeaseValid()` is true on one controller at most, at any time. The holder trusts its lease
+//    by its own steady clock only, counted from when it sent the grant or keep-alive, less the
+//    greatest drift between the clocks.
+//  - Terms increase from leader to leader.
+//  - A response that belongs to a former stage is ignored.
+//
+// | stage          | what is awaited                 | what ends it, and the next stage         |
+// |----------------|---------------------------------|------------------------------------------|
+// | kReadingKey    | the value of the leader key     | absent: kGrantingLease                   |
+// |                |                                 | held by another controller: kWatchingKey |
+// |                |                                 | created by this process: kLeading        |
+// | kWatchingKey   | a change of the key (long poll) | any response or failure: kReadingKey     |
+// | kGrantingLease | a short pause, then a new lease | granted: kAcquiringKey                   |
+// |                |                                 | failed, or resigned lately: kReadingKey  |
+// | kAcquiringKey  | a transaction creating the key  | committed: kLeading                      |
+// |                |                                 | conflict or unknown outcome: kReadingKey |
+// | kLeading       | responses to keep-alives        | lease expired, higher term or            |
+// |                |                                 | resignation: kReadingKey                 |
+//
+// Source: "Controller nodes -> state service" in PROTOCOL (leases, transactions, /follow).
+// Owned by `Controller`. Single-threaded; all times are seconds of the steady clock.
 #pragma once
 
 #include <cstdint>
@@ -8,77 +34,111 @@
 #include <random>
 #include <string>
 
+#include "leader/leader_key.h"
+#include "leader/leadership_loss_reason.h"
 #include "net/clock.h"
 #include "state/key_value_store.h"
 
 namespace deckhall {
 
 struct ElectionOptions {
-  std::string label;
-  uint64_t instance = 0;
-  int lease_ttl_ms = 2500;
-  double keep_alive_interval_s = 0.5;
-  double clock_drift = 0.002;  // of our clock against the state service's
+  std::string label;                   // of this controller
+  uint64_t instance = 0;               // of this process; unique, not 0
+  int lease_ttl_ms = 2500;             // milliseconds
+  double keep_alive_interval_s = 0.5;  // seconds
+  double clock_drift = 0.002;          // relative, between this clock and the state service's
 };
 
 class Election {
  public:
+  // The name of the leader key.
   static constexpr const char* kKey = "deckhall/leader";
 
-  Election(KeyValueStore* state, const Clock* clock, ElectionOptions options);
+  // The pointers must outlive this object and the calls to the store.
+  Election(KeyValueStore* key_value_store, const Clock* clock, ElectionOptions options);
 
+  // Sends what is due; called often.
   void Tick();
-  // Holds the key as far as it knows, though perhaps no longer by its clock.
+
+  // Whether this process holds the leader key as far as it knows. Its lease may have expired.
   bool HoldsKey() const { return stage_ == Stage::kLeading; }
-  // Holds it surely, now.
+  // Whether this process certainly holds the leader key now.
   bool IsLeaseValid() const { return HoldsKey() && clock_->Now() < lease_valid_until_; }
+  // The time until which the lease is valid; negative while this process does not lead.
   double lease_valid_until() const { return lease_valid_until_; }
+  // The latest term that this process led; 0 before the first.
   uint64_t term() const { return term_; }
-  // The holder last seen, which may be gone by now; empty when there was none.
+  // The holder of the leader key when it was last read; empty when there was none.
   const std::string& leader_label() const { return leader_label_; }
+  // The term of the last holder that was seen.
   uint64_t leader_term() const { return leader_term_; }
-  // Who held it before us, as far as was seen.
+  // The last holder seen that was not this process, though it may have been a former process of the
+  // same controller; empty when there was none.
   const std::string& former_leader_label() const { return former_leader_label_; }
 
-  // A higher term exists, or a write met one: stop at once.
-  void LoseLeadership(const char* why);
-  // Others can lead better now: gives the lease back and lets them go first.
-  void Resign(const char* why, double pause_s);
+  // Stops leading at once. The lease is left to expire.
+  void LoseLeadership(LeadershipLossReason reason);
+  // Stops leading, revokes the lease, and does not campaign for `pause_s` seconds, so that another
+  // controller takes over.
+  void Resign(LeadershipLossReason reason, double pause_s);
 
+  // Called when this process begins to lead the term.
   std::function<void(uint64_t term)> on_elected;
-  // The state service showed that no term above this one has begun yet.
+  // Called when the state service showed that no term above `bound` had begun.
   std::function<void(uint64_t bound)> on_term_bound;
+  // Called when this process no longer leads.
   std::function<void()> on_leadership_lost;
 
  private:
+  // See the table above.
   enum class Stage { kReadingKey, kWatchingKey, kGrantingLease, kAcquiringKey, kLeading };
 
   void ReadLeaderKey();
-  void HandleLeaderKey(const KeyValueResponse& response);
+  void HandleLeaderKeyResponse(const KeyValueResponse& response);
+  void HandleAbsentKey(uint64_t revision);
+  void HandleHeldKey(const KeyValue& entry);
+  // Whether this process created the key in a transaction whose response was lost.
+  bool IsOwnAcquisition(const LeaderKey& key) const;
+  // Whether a former process of this controller holds the key.
+  bool IsFromFormerProcess(const LeaderKey& key) const;
   void WatchKey(uint64_t revision);
+  void HandleWatchResponse(const KeyValueResponse& response, double watched_since);
   void Campaign();
-  void AcquireKey(uint64_t lease, double sent);
+  void HandleLeaseResponse(const KeyValueResponse& response, double requested_at);
+  void AcquireKey(uint64_t lease_id, double lease_requested_at);
+  void HandleAcquisitionResponse(const KeyValueResponse& response);
   void BecomeLeader(uint64_t term);
   void KeepAliveLease();
-  void RetryAfter(double after_s);
+  void HandleKeepAliveResponse(const KeyValueResponse& response, double sent_at);
+  void RevokeLease(uint64_t lease_id);
+  // Enters a stage whose first step waits for about `delay_s` seconds.
+  void EnterStage(Stage stage, double delay_s);
+  // Lets the next step wait for about `delay_s` seconds.
+  void DelayNextStep(double delay_s);
+  // Marks a call as in flight and returns a handler that drops its response when the stage was left
+  // meanwhile.
+  KeyValueStore::Done BeginCall(std::function<void(const KeyValueResponse&)> handle_response);
+  // The time until which a lease is valid that was granted or kept alive by a request sent then.
+  double LeaseValidUntil(double requested_at) const;
+  double LeaseTtlSeconds() const;
 
   KeyValueStore* key_value_store_;
   const Clock* clock_;
   ElectionOptions options_;
   std::mt19937_64 random_;
   Stage stage_ = Stage::kReadingKey;
-  bool call_in_flight_ = false;
-  int keep_alives_in_flight_ = 0;
-  uint64_t call_epoch_ = 0;  // answers to what an earlier stage asked are dropped
-  uint64_t lease_id_ = 0;
+  bool call_in_flight_ = false;    // all stages but kLeading
+  int keep_alives_in_flight_ = 0;  // kLeading only
+  uint64_t call_epoch_ = 0;        // a response with an older epoch is ignored
+  uint64_t lease_id_ = 0;          // 0: none
   uint64_t term_ = 0;
   uint64_t leader_term_ = 0;
   std::string leader_label_;
   std::string former_leader_label_;
   double lease_valid_until_ = -1;
   double lease_requested_at_ = 0;
-  double next_action_at_ = 0;
-  double campaign_not_before_ = -1;  // runs for it no sooner
+  double next_step_at_ = 0;  // kLeading: the next keep-alive
+  double campaign_not_before_ = -1;
 };
 
 }  // namespace deckhall
