--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -4,6 +4,7 @@
 #include "config/tuning.h"
 #include "fakes.h"
 #include "leader/election.h"
+#include "leader/leader_key.h"
 #include "sched/fsp.h"
 #include "sched/scale_out_plan.h"
 
@@ -25,14 +26,14 @@
   EXPECT_NEAR(finish[0], 35, 1e-6);  // the sum of what is left
 }
 
-TEST(Fsp, AJobGetsNoMoreThanItCanUseAndWeightsCount) {
+TEST(Fsp, SharesFollowWeightsUpToWhatAJobCanUse) {
   const auto share = FspShares({{10, 1, 2}, {10, 1, 100}, {10, 2, 100}}, 11);
   EXPECT_NEAR(share[0], 2, 1e-9);
   EXPECT_NEAR(share[1], 3, 1e-9);
   EXPECT_NEAR(share[2], 6, 1e-9);
 }
 
-TEST(Capacity, PacksIntoWhatIsThereBeforeItRents) {
+TEST(Capacity, FreeMachinesAreUsedBeforeNewOnesAreRented) {
   InstanceOffering ordinary{0, 0, false, 8, 0, 64, 1.0, 30, false, 0};
   InstanceOffering spot{0, 0, true, 8, 0, 64, 0.4, 30, false, 0};
   ResourceRequest need;
@@ -54,6 +55,25 @@
   EXPECT_EQ(rent[0].count, 2);
 }
 
+TEST(LeaderKey, AKeyIsReadBackAsItWasWritten) {
+  const std::string stored = EncodeLeaderKey({"n0", 9007199254740993, 5});
+  EXPECT_EQ(stored, R"({"label":"n0","instance":9007199254740993,"lease":5})");
+  const LeaderKey key = DecodeLeaderKey(stored);
+  EXPECT_EQ(key.label, "n0");
+  EXPECT_EQ(key.instance, 9007199254740993U);
+  EXPECT_EQ(key.lease_id, 5U);
+}
+
+TEST(LeaderKey, AMissingOrMalformedFieldKeepsItsDefault) {
+  for (const char* stored : {"", "{", "[]", "{}", R"({"label":3,"instance":"x","lease":-1})"}) {
+    const LeaderKey key = DecodeLeaderKey(stored);
+    EXPECT_EQ(key.label, "") << stored;
+    EXPECT_EQ(key.instance, 0U) << stored;
+    EXPECT_EQ(key.lease_id, 0U) << stored;
+  }
+  EXPECT_EQ(DecodeLeaderKey(R"({"label":"n1","lease":6})").lease_id, 6U);
+}
+
 struct ElectionWorld {
   FakeClock clock;
   FakeState state;
@@ -74,12 +94,12 @@
   }
 };
 
-TEST(Election, TheLeaseIsTrustedByTheHoldersOwnClockOnly) {
+TEST(Election, DuringAnOutageTheLeaseExpiresByTheHoldersClock) {
   ElectionWorld w;
   w.Pass(1);
   ASSERT_EQ(w.won, 1);
   EXPECT_TRUE(w.election.IsLeaseValid());
-  w.state.refuse = true;  // an outage, or a 503 that this node alone gets
+  w.state.refuse = true;  // an outage, or a 503 that this controller alone gets
   w.Pass(3);
   EXPECT_FALSE(w.election.IsLeaseValid());
   EXPECT_TRUE(w.election.HoldsKey());
@@ -91,7 +111,7 @@
   EXPECT_EQ(w.lost, 1);
 }
 
-TEST(Election, AClaimWhoseAnswerWasLostIsReadBack) {
+TEST(Election, AnAcquisitionWhoseResponseWasLostIsReadBack) {
   ElectionWorld w;
   w.state.lose_answers = 1;
   w.Pass(1);
@@ -99,7 +119,7 @@
   EXPECT_EQ(w.election.term(), w.state.keys[Election::kKey].version);
 }
 
-TEST(Election, AnotherHolderIsWaitedForAndAnEarlierSelfIsNot) {
+TEST(Election, AnotherHolderIsWatchedAndAFormerProcessIsRevoked) {
   ElectionWorld w;
   w.state.leases[5] = true;
   w.state.keys[Election::kKey] = {R"({"label":"n1","instance":9,"lease":5})", 50, 5};
@@ -113,7 +133,7 @@
   EXPECT_EQ(v.won, 1);
 }
 
-TEST(Election, WhoStepsDownGivesTheLeaseBackAndLetsOthersGoFirst) {
+TEST(Election, AResignedLeaderRevokesItsLeaseAndPausesBeforeItCampaigns) {
   ElectionWorld w;
   w.Pass(1);
   ASSERT_EQ(w.won, 1);
@@ -126,8 +146,8 @@
   EXPECT_EQ(w.won, 2);
 }
 
-// What a restarted process may say of terms: see TermFreshness.
-TEST(Election, TellsWhatTheStateServiceShowsOfTerms) {
+// What a restarted process may announce of terms: see TermFreshness.
+TEST(Election, ReadingTheLeaderKeyBoundsTheTerms) {
   ElectionWorld w;
   uint64_t known = 0;
   w.election.on_term_bound = [&known](uint64_t bound) { known = bound; };
@@ -139,11 +159,11 @@
   w.state.keys[Election::kKey] = {R"({"label":"n1","instance":9,"lease":5})", 50, 5};
   w.Pass(1);
   EXPECT_EQ(known, 50U);
-  // Without the key every earlier term is over: none is above the revision.
+  // Without the key every former term is over: none is above the revision.
   w.state.EndLease(5);
   for (auto& done : std::exchange(w.state.watches, {})) done(KeyValueResponse());
   w.Pass(1);
-  EXPECT_EQ(known, w.state.revision - 1);  // as it was before our own claim
+  EXPECT_EQ(known, w.state.revision - 1);  // as it was before this process acquired the key
 }
 
 TEST(RowStore, ABurstOfSubmissionsFitsTheWriteBudget) {
@@ -169,9 +189,9 @@
   EXPECT_LE(puts, 20U);
 }
 
-// Found on the fleet's day with a slow state service: one transaction that took seconds
-// held up every acceptance.
-TEST(RowStore, WhatIsUrgentOvertakesATransactionThatIsNotAnswered) {
+// Regression: with a slow state service one transaction that took seconds delayed every
+// submission.
+TEST(RowStore, AnUrgentWriteOvertakesAnUnansweredTransaction) {
   FakeClock clock;
   FakeState state;
   state.keys["leader"] = {"{}", 1, 0};
@@ -182,7 +202,7 @@
   store.Flush();
   ASSERT_EQ(state.committed.size(), 2U);
   EXPECT_FALSE(store.IsDurable(first));
-  // The same row again while it is on its way: that waits for the answer.
+  // Another write of a record in flight waits for the response.
   store.Update(first, "{\"a\":3}", 20, WritePriority::kImmediate);
   store.Flush();
   EXPECT_EQ(state.committed.size(), 2U);
@@ -278,7 +298,7 @@
   EXPECT_EQ(state.keys.size(), 4U);  // the leader's and three pages
 }
 
-TEST(Settings, GoodOnesAreReadAndBadOnesNamed) {
+TEST(Settings, ValidSettingsAreReadAndInvalidFieldsAreNamed) {
   const std::string good =
       R"({"label":"n0","site":"a","serve_on":"127.0.0.1:1","mesh_addr":"127.0.0.1:2",
 "siblings":[{"label":"n1","site":"b","endpoint":"127.0.0.1:3"}],"new_field":[],
@@ -303,7 +323,7 @@
   }
 }
 
-TEST(Tuning, SExpressionsAreReadAndChecked) {
+TEST(Tuning, ValidTuningIsReadAndInvalidTuningIsRefused) {
   Tuning t;
   EXPECT_EQ(ReadTuning(R"x((deckhall (leader (lease-ms "4000")) (rank (weight-idle "0.5"))))x", &t),
             "");
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -1,4 +1,4 @@
-// Sockets on the loopback interface: what no fake can stand in for.
+// HTTP server and client over real sockets on the loopback interface.
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
 #include <netinet/in.h>
@@ -30,31 +30,34 @@
   loop->Run();
 }
 
-// With all connections taken, the one idle longest makes room, and whoever is being
-// answered keeps its own: with a whole fleet on one controller there is always a next.
-TEST(HttpServer, AFullTableDropsTheConnectionIdleLongest) {
+// A connection whose request is being served is never closed for a new one. With a whole fleet on
+// one controller, new connections keep coming.
+TEST(HttpServer, AtTheConnectionLimitTheLongestIdleConnectionIsClosed) {
   Loop loop;
   const Endpoint at = FreePort();
   HttpServerLimits limits;
   limits.connections = 3;
   HttpServer::Reply waiting;
-  HttpServer server(&loop, at, limits, [&waiting](const HttpMessage& m, HttpServer::Reply reply) {
-    if (m.target == "/slow") {
-      waiting = std::move(reply);
-    } else {
-      reply(HttpAnswer());
-    }
-  });
+  HttpServer server(&loop, at, limits,
+                    [&waiting](const HttpMessage& request, HttpServer::Reply reply) {
+                      if (request.target == "/slow") {
+                        waiting = std::move(reply);
+                      } else {
+                        reply(HttpAnswer());
+                      }
+                    });
   HttpClient slow(&loop, 1, 1000);
   int slow_status = -1;
   slow.Call(at, {"GET", "/slow", "", 5},
-            [&slow_status](const HttpResult& r) { slow_status = r.status; });
+            [&slow_status](const HttpResult& result) { slow_status = result.status; });
   RunFor(&loop, 0.05);
   std::vector<int> status(4, -1);
   std::vector<std::unique_ptr<HttpClient>> clients;
-  for (int& s : status) {
+  for (int& client_status : status) {
     clients.push_back(std::make_unique<HttpClient>(&loop, 1, 1000));
-    clients.back()->Call(at, {"GET", "/", "", 5}, [&s](const HttpResult& r) { s = r.status; });
+    clients.back()->Call(at, {"GET", "/", "", 5}, [&client_status](const HttpResult& result) {
+      client_status = result.status;
+    });
     RunFor(&loop, 0.05);
   }
   EXPECT_EQ(status, std::vector<int>(4, 200));
