--- a/src/app/controller_files.cc
+++ b/src/app/controller_files.cc
@@ -40,9 +40,8 @@
     configuration.tuning = tuning.value();
   }
   if (!paths.policy.empty()) {
-    DisruptionPolicy policy;
-    const std::string reason = LoadPolicyFile(paths.policy, configuration.settings, &policy);
-    if (!reason.empty()) return FileError{paths.policy, reason};
+    const auto policy = LoadPolicyFile(paths.policy, configuration.settings);
+    if (!policy.has_value()) return FileError{paths.policy, DescribeError(policy.error())};
   }
   return configuration;
 }
--- a/src/app/policy_file.cc
+++ b/src/app/policy_file.cc
@@ -2,28 +2,30 @@
 
 #include <spdlog/spdlog.h>
 
+#include <boost/outcome/try.hpp>
 #include <fstream>
 #include <sstream>
 #include <system_error>
+#include <utility>
 
 #include "drain/policy_replicator.h"
 
 namespace deckhall {
 
-std::string LoadPolicyFile(const std::string& path, const Settings& settings,
-                           DisruptionPolicy* out) {
+Result<DisruptionPolicy, PolicyError> LoadPolicyFile(const std::string& path,
+                                                     const Settings& settings) {
   std::ifstream in(path, std::ios::binary);
   std::ostringstream text;
   if (in) text << in.rdbuf();
-  if (!in || in.bad()) return "can't be read";
-  std::string bad = ReadPolicy(text.str(), out);
-  if (bad.empty()) bad = CheckPolicy(*out, settings);
-  const size_t bytes = EncodePolicy(*out).size();
-  if (bad.empty() && bytes > MaxPolicyBytes(settings)) {
-    bad = "takes " + std::to_string(bytes) + " bytes, but a value of the state service holds " +
-          std::to_string(MaxPolicyBytes(settings));
+  if (!in || in.bad()) return PolicyError{PolicyErrorKind::kUnreadableFile};
+  BOOST_OUTCOME_TRY(policy, ReadPolicy(text.str()));
+  BOOST_OUTCOME_TRYV(CheckPolicy(policy, settings));
+  const size_t bytes = EncodePolicy(policy).size();
+  const size_t max_bytes = MaxPolicyBytes(settings);
+  if (bytes > max_bytes) {
+    return PolicyError{.kind = PolicyErrorKind::kTooLarge, .bytes = bytes, .max_bytes = max_bytes};
   }
-  return bad;
+  return std::move(policy);
 }
 
 std::shared_ptr<const DisruptionPolicy> PolicyFile::ReadIfChanged() {
@@ -39,11 +41,12 @@
   }
   if (seen_ == now) return nullptr;
   seen_ = now;
-  auto policy = std::make_shared<DisruptionPolicy>();
-  const std::string bad = LoadPolicyFile(path_, *settings_, policy.get());
-  if (bad.empty()) return policy;
-  spdlog::error("{}: {}; the policy in force stays", path_, bad);
-  return nullptr;
+  auto policy = LoadPolicyFile(path_, *settings_);
+  if (!policy.has_value()) {
+    spdlog::error("{}: {}; the policy in force stays", path_, DescribeError(policy.error()));
+    return nullptr;
+  }
+  return std::make_shared<const DisruptionPolicy>(std::move(policy.value()));
 }
 
 }  // namespace deckhall
--- a/src/app/policy_file.h
+++ b/src/app/policy_file.h
@@ -10,9 +10,9 @@
 
 namespace deckhall {
 
-// Reads and checks the file. Returns the reason why it can't be used, or an empty string.
-std::string LoadPolicyFile(const std::string& path, const Settings& settings,
-                           DisruptionPolicy* out);
+// Reads and checks the file, also whether the policy fits a value of the state service.
+Result<DisruptionPolicy, PolicyError> LoadPolicyFile(const std::string& path,
+                                                     const Settings& settings);
 
 class PolicyFile {
  public:
--- a/src/drain/policy.cc
+++ b/src/drain/policy.cc
@@ -2,11 +2,11 @@
 
 #include <algorithm>
 #include <boost/asio/ip/address_v4.hpp>
+#include <boost/outcome/try.hpp>
 #include <cmath>
-#include <functional>
+#include <optional>
 #include <set>
-
-#include "config/sexpression.h"
+#include <utility>
 
 namespace deckhall {
 namespace {
@@ -17,214 +17,335 @@
 constexpr size_t kLongestName = 60;
 constexpr size_t kMostDrains = 200;
 
-// Where a reason for refusal goes; the first one stays.
-class Reader {
- public:
-  bool ok() const { return reason_.empty(); }
-  const std::string& reason() const { return reason_; }
-  void Fail(const std::string& where, const std::string& what) {
-    if (ok()) reason_ = where + ": " + what;
-  }
+using Check = Result<void, PolicyError>;
 
-  // The only value of an entry such as (name "value").
-  std::string Value(const SExpression& entry, const std::string& where) {
-    std::string value = entry.Atom(1);
-    if (entry.size() < 2 || value.empty()) Fail(where + " " + entry.Name(), "a value is missing");
-    return value;
-  }
+PolicyError UnknownEntry(const std::string& where, const SExpression& entry) {
+  return {PolicyErrorKind::kUnknownEntry, where, entry.Name()};
+}
 
-  double Number(const SExpression& entry, const std::string& where, double least, double most) {
-    const std::optional<double> value = ParseNumber(entry.Atom(1));
-    if (!value || *value < least || *value > most) {
-      Fail(where + " " + entry.Name(), "not a number from " + Decimal(least) + " to " +
-                                           Decimal(most) + ": '" + entry.Atom(1) + "'");
-      return least;
-    }
-    return *value;
-  }
+// Where the value of an entry stands, as operators read it.
+std::string PathOf(const std::string& where, const SExpression& entry) {
+  return where + " " + entry.Name();
+}
+
+// Without trailing zeros.
+std::string Decimal(double value) {
+  std::string text = std::to_string(value);
+  text.erase(text.find_last_not_of('0') + 1);
+  if (text.back() == '.') text.pop_back();
+  return text;
+}
 
-  double Whole(const SExpression& entry, const std::string& where, double least, double most) {
-    const double value = Number(entry, where, least, most);
-    if (value != std::floor(value)) Fail(where + " " + entry.Name(), "not a whole number");
-    return value;
+// The only value of an entry such as (name "value").
+Result<std::string, PolicyError> ReadValue(const SExpression& entry, const std::string& where) {
+  std::string value = entry.Atom(1);
+  if (entry.size() < 2 || value.empty()) {
+    return PolicyError{PolicyErrorKind::kMissingValue, PathOf(where, entry)};
   }
+  return value;
+}
 
-  // Calls `visit` for each list in the section, from the element `from` on.
-  void ForEach(const SExpression& section, int from, const std::string& where,
-               const std::function<void(const SExpression&)>& visit) {
-    for (int i = from; i < section.size() && ok(); ++i) {
-      const std::optional<SExpression> entry = section.List(i);
-      if (!entry) {
-        Fail(where, "not a list: '" + section.Atom(i) + "'");
-        return;
-      }
-      visit(*entry);
-    }
+Result<double, PolicyError> ReadNumber(const SExpression& entry, const std::string& where,
+                                       double least, double most) {
+  const std::optional<double> value = ParseNumber(entry.Atom(1));
+  if (!value || *value < least || *value > most) {
+    return PolicyError{PolicyErrorKind::kOutOfRange, PathOf(where, entry),
+                       Decimal(least) + " to " + Decimal(most) + ": '" + entry.Atom(1) + "'"};
   }
+  return *value;
+}
 
- private:
-  static std::string Decimal(double value) {
-    std::string text = std::to_string(value);
-    text.erase(text.find_last_not_of('0') + 1);
-    if (text.back() == '.') text.pop_back();
-    return text;
+Result<double, PolicyError> ReadWhole(const SExpression& entry, const std::string& where,
+                                      double least, double most) {
+  BOOST_OUTCOME_TRY(value, ReadNumber(entry, where, least, most));
+  if (value != std::floor(value)) {
+    return PolicyError{PolicyErrorKind::kNotWhole, PathOf(where, entry)};
   }
+  return value;
+}
 
-  std::string reason_;
-};
+// Calls `visit` for each list in the section, from the element `from` on, until one fails.
+template <class Visit>
+Check ForEachList(const SExpression& section, int from, const std::string& where,
+                  const Visit& visit) {
+  for (int i = from; i < section.size(); ++i) {
+    const std::optional<SExpression> entry = section.List(i);
+    if (!entry) return PolicyError{PolicyErrorKind::kNotList, where, section.Atom(i)};
+    BOOST_OUTCOME_TRYV(visit(*entry));
+  }
+  return Success();
+}
 
 // (down "2"), (down "10%"), (down "10%" at-least-one)
-DownLimit ReadDown(const SExpression& entry, const std::string& where, Reader* reader) {
-  DownLimit limit;
+Result<DownLimit, PolicyError> ReadDown(const SExpression& entry, const std::string& section) {
+  const std::string where = section + " down";
   std::string text = entry.Atom(1);
-  limit.unit = DownLimit::Unit::kReplicas;
   const bool share = !text.empty() && text.back() == '%';
   if (share) text.pop_back();
   const std::optional<double> amount = ParseNumber(text);
   if (!amount || *amount < 0 || (share ? *amount > 100 : *amount > kMostTasks)) {
-    reader->Fail(where + " down",
-                 "neither a number of replicas nor a share up to 100%: '" + entry.Atom(1) + "'");
-    return limit;
+    return PolicyError{PolicyErrorKind::kInvalidLimit, where, entry.Atom(1)};
   }
   if (!share && *amount != std::floor(*amount)) {
-    reader->Fail(where + " down", "not a whole number of replicas");
+    return PolicyError{PolicyErrorKind::kNotWholeReplicas, where};
   }
-  if (share) limit.unit = DownLimit::Unit::kShare;
+  DownLimit limit;
+  limit.unit = share ? DownLimit::Unit::kShare : DownLimit::Unit::kReplicas;
   limit.amount = share ? *amount / 100 : *amount;
   if (entry.size() > 2) {
     if (entry.Atom(2) != "at-least-one" || !share) {
-      reader->Fail(where + " down", "only at-least-one may follow, and only a share");
+      return PolicyError{PolicyErrorKind::kMisplacedAtLeastOne, where};
     }
     limit.at_least_one = true;
   }
   return limit;
 }
 
-void ReadBudgetEntry(const SExpression& entry, const std::string& where, DisruptionBudget* budget,
-                     Reader* reader) {
+Check ReadBudgetEntry(const SExpression& entry, const std::string& where,
+                      DisruptionBudget* budget) {
   if (entry.Name() == "down") {
-    budget->down = ReadDown(entry, where, reader);
-  } else if (entry.Name() == "stopped") {
-    budget->stopped = static_cast<uint32_t>(reader->Whole(entry, where, 0, kMostTasks));
-  } else {
-    reader->Fail(where, "unknown entry '" + entry.Name() + "'");
+    BOOST_OUTCOME_TRY(down, ReadDown(entry, where));
+    budget->down = down;
+    return Success();
+  }
+  if (entry.Name() == "stopped") {
+    BOOST_OUTCOME_TRY(stopped, ReadWhole(entry, where, 0, kMostTasks));
+    budget->stopped = static_cast<uint32_t>(stopped);
+    return Success();
   }
+  return UnknownEntry(where, entry);
+}
+
+// (default (down ...))
+Check ReadDefaultBudget(const SExpression& entry, DisruptionPolicy* policy) {
+  return ForEachList(entry, 1, "default", [policy](const SExpression& limit) -> Check {
+    if (limit.Name() != "down") return UnknownEntry("default", limit);
+    BOOST_OUTCOME_TRY(down, ReadDown(limit, "default"));
+    policy->default_down = down;
+    return Success();
+  });
+}
+
+bool HasBudgetFor(const DisruptionPolicy& policy, const DisruptionBudget& budget) {
+  return std::any_of(policy.budgets.begin(), policy.budgets.end(),
+                     [&budget](const DisruptionBudget& other) {
+                       return other.team == budget.team && other.job_class == budget.job_class;
+                     });
 }
 
 // (team "name" (down ...) (stopped ...)) or (class "team" "class" (down ...) ...)
-void ReadBudget(const SExpression& entry, DisruptionPolicy* out, Reader* reader) {
-  if (entry.Name() == "default") {
-    reader->ForEach(entry, 1, "default", [&](const SExpression& expression) {
-      if (expression.Name() != "down")
-        reader->Fail("default", "unknown entry '" + expression.Name() + "'");
-      out->default_down = ReadDown(expression, "default", reader);
-    });
-    return;
-  }
+Check ReadBudget(const SExpression& entry, DisruptionPolicy* policy) {
+  if (entry.Name() == "default") return ReadDefaultBudget(entry, policy);
   const bool of_class = entry.Name() == "class";
-  if (entry.Name() != "team" && !of_class) {
-    reader->Fail("budgets", "unknown entry '" + entry.Name() + "'");
-    return;
-  }
+  if (entry.Name() != "team" && !of_class) return UnknownEntry("budgets", entry);
   DisruptionBudget budget;
   budget.team = entry.Atom(1);
   if (of_class) budget.job_class = entry.Atom(2);
   if (budget.team.empty() || (of_class && budget.job_class.empty())) {
-    reader->Fail("budgets " + entry.Name(), "a name is missing");
-    return;
+    return PolicyError{PolicyErrorKind::kMissingName, PathOf("budgets", entry)};
   }
   std::string where = "budget of " + budget.team;
   if (of_class) where += " " + budget.job_class;
-  const bool twice = std::any_of(
-      out->budgets.begin(), out->budgets.end(), [&budget](const DisruptionBudget& other) {
-        return other.team == budget.team && other.job_class == budget.job_class;
-      });
-  if (twice) reader->Fail(where, "given twice");
-  reader->ForEach(entry, of_class ? 3 : 2, where, [&](const SExpression& expression) {
-    ReadBudgetEntry(expression, where, &budget, reader);
-  });
-  out->budgets.push_back(std::move(budget));
+  if (HasBudgetFor(*policy, budget)) return PolicyError{PolicyErrorKind::kDuplicate, where};
+  const int first_limit = of_class ? 3 : 2;
+  BOOST_OUTCOME_TRYV(ForEachList(entry, first_limit, where, [&](const SExpression& limit) {
+    return ReadBudgetEntry(limit, where, &budget);
+  }));
+  policy->budgets.push_back(std::move(budget));
+  return Success();
 }
 
-std::optional<boost::asio::ip::network_v4> ReadNetwork(const std::string& text) {
+Result<boost::asio::ip::network_v4, PolicyError> ReadNetwork(const SExpression& entry,
+                                                             const std::string& where) {
   boost::system::error_code error;
-  const auto network = boost::asio::ip::make_network_v4(text, error);
-  if (error) return std::nullopt;
+  const auto network = boost::asio::ip::make_network_v4(entry.Atom(1), error);
+  if (error) {
+    return PolicyError{PolicyErrorKind::kNotNetwork, PathOf(where, entry), entry.Atom(1)};
+  }
   return network.canonical();
 }
 
-void ReadDrainEntry(const SExpression& entry, const std::string& where, DrainRequest* drain,
-                    Reader* reader) {
+// One of the criteria of a drain. False: the entry is none.
+Result<bool, PolicyError> ReadCriterion(const SExpression& entry, const std::string& where,
+                                        MachineSelector* machines) {
   const std::string name = entry.Name();
   if (name == "machine") {
-    drain->machines.names.push_back(reader->Value(entry, where));
+    BOOST_OUTCOME_TRY(machine, ReadValue(entry, where));
+    machines->names.push_back(std::move(machine));
   } else if (name == "type") {
-    drain->machines.type = reader->Value(entry, where);
+    BOOST_OUTCOME_TRY(type, ReadValue(entry, where));
+    machines->type = std::move(type);
   } else if (name == "zone") {
-    drain->machines.zone = reader->Value(entry, where);
+    BOOST_OUTCOME_TRY(zone, ReadValue(entry, where));
+    machines->zone = std::move(zone);
   } else if (name == "network") {
-    drain->machines.network = ReadNetwork(entry.Atom(1));
-    if (!drain->machines.network) {
-      reader->Fail(where + " network",
-                   "not an IPv4 network like 10.1.4.0/24: '" + entry.Atom(1) + "'");
-    }
+    BOOST_OUTCOME_TRY(network, ReadNetwork(entry, where));
+    machines->network = network;
   } else if (name == "everything") {
-    drain->machines.everything = true;
-  } else if (name == "deadline-s") {
-    drain->deadline_s = reader->Number(entry, where, 0, kMostSeconds);
-  } else if (name == "paused") {
-    drain->paused = true;
+    machines->everything = true;
   } else {
-    reader->Fail(where, "unknown entry '" + name + "'");
+    return false;
   }
+  return true;
 }
 
-void ReadDrain(const SExpression& entry, DisruptionPolicy* out, Reader* reader) {
-  if (entry.Name() != "drain") {
-    reader->Fail("drains", "unknown entry '" + entry.Name() + "'");
-    return;
+Check ReadDrainEntry(const SExpression& entry, const std::string& where, DrainRequest* drain) {
+  BOOST_OUTCOME_TRY(is_criterion, ReadCriterion(entry, where, &drain->machines));
+  if (is_criterion) return Success();
+  if (entry.Name() == "deadline-s") {
+    BOOST_OUTCOME_TRY(deadline_s, ReadNumber(entry, where, 0, kMostSeconds));
+    drain->deadline_s = deadline_s;
+    return Success();
+  }
+  if (entry.Name() == "paused") {
+    drain->paused = true;
+    return Success();
   }
+  return UnknownEntry(where, entry);
+}
+
+// A drain of all machines is asked for in so many words.
+Check CheckSelection(const MachineSelector& machines, const std::string& where) {
+  const bool has_criteria = !machines.names.empty() || !machines.type.empty() ||
+                            !machines.zone.empty() || machines.network;
+  if (!has_criteria && !machines.everything) {
+    return PolicyError{PolicyErrorKind::kNoSelection, where};
+  }
+  if (has_criteria && machines.everything) {
+    return PolicyError{PolicyErrorKind::kConflictingSelection, where};
+  }
+  return Success();
+}
+
+// (drain "name" (zone "...") ... (deadline-s "...") (paused))
+Check ReadDrain(const SExpression& entry, DisruptionPolicy* policy) {
+  if (entry.Name() != "drain") return UnknownEntry("drains", entry);
   DrainRequest drain;
   drain.name = entry.Atom(1);
   if (drain.name.empty() || drain.name.size() > kLongestName) {
-    reader->Fail("drain", "a name of 1 to " + std::to_string(kLongestName) + " bytes is missing");
-    return;
+    return PolicyError{PolicyErrorKind::kInvalidDrainName, "drain"};
   }
   const std::string where = "drain " + drain.name;
-  if (out->Find(drain.name) != nullptr) reader->Fail(where, "given twice");
-  if (out->drains.size() >= kMostDrains) {
-    reader->Fail("drains", "more than " + std::to_string(kMostDrains));
+  if (policy->Find(drain.name) != nullptr) return PolicyError{PolicyErrorKind::kDuplicate, where};
+  if (policy->drains.size() >= kMostDrains) {
+    return PolicyError{PolicyErrorKind::kTooManyDrains, "drains"};
   }
-  reader->ForEach(entry, 2, where, [&](const SExpression& expression) {
-    ReadDrainEntry(expression, where, &drain, reader);
-  });
-  const MachineSelector& m = drain.machines;
-  const bool some = !m.names.empty() || !m.type.empty() || !m.zone.empty() || m.network;
-  if (!some && !m.everything) {
-    reader->Fail(where, "names no machine, type, zone or network; all machines: (everything)");
-  }
-  if (some && m.everything) reader->Fail(where, "(everything) goes with no other selection");
-  out->drains.push_back(std::move(drain));
+  BOOST_OUTCOME_TRYV(ForEachList(entry, 2, where, [&](const SExpression& part) {
+    return ReadDrainEntry(part, where, &drain);
+  }));
+  BOOST_OUTCOME_TRYV(CheckSelection(drain.machines, where));
+  policy->drains.push_back(std::move(drain));
+  return Success();
 }
 
-void ReadTime(const SExpression& entry, EvictionLimits* times, Reader* reader) {
+// A limit of evictions: a number of seconds, or a count.
+struct LimitField {
+  const char* name;
+  double EvictionLimits::*seconds;  // null: a count
+  uint32_t EvictionLimits::*count;  // null: seconds
+  double least;
+  double most;
+};
+
+constexpr LimitField kLimitFields[] = {
+    {"settle-s", &EvictionLimits::settle_s, nullptr, 0, 3600},
+    {"replace-within-s", &EvictionLimits::replace_within_s, nullptr, 1, 86400},
+    {"image-wait-s", &EvictionLimits::image_wait_s, nullptr, 0, 86400},
+    {"window-s", &EvictionLimits::window_s, nullptr, 1, 86400},
+    {"at-once", nullptr, &EvictionLimits::max_evictions, 1, 1000},
+    {"replacement-tries", nullptr, &EvictionLimits::replacement_tries, 1, 100}};
+
+Check ReadLimit(const SExpression& entry, EvictionLimits* limits) {
   const std::string where = "steps";
   const std::string name = entry.Name();
-  if (name == "settle-s") {
-    times->settle_s = reader->Number(entry, where, 0, 3600);
-  } else if (name == "replace-within-s") {
-    times->replace_within_s = reader->Number(entry, where, 1, 86400);
-  } else if (name == "image-wait-s") {
-    times->image_wait_s = reader->Number(entry, where, 0, 86400);
-  } else if (name == "window-s") {
-    times->window_s = reader->Number(entry, where, 1, 86400);
-  } else if (name == "at-once") {
-    times->max_evictions = static_cast<uint32_t>(reader->Whole(entry, where, 1, 1000));
-  } else if (name == "replacement-tries") {
-    times->replacement_tries = static_cast<uint32_t>(reader->Whole(entry, where, 1, 100));
-  } else {
-    reader->Fail(where, "unknown entry '" + name + "'");
+  for (const LimitField& field : kLimitFields) {
+    if (name != field.name) continue;
+    if (field.seconds != nullptr) {
+      BOOST_OUTCOME_TRY(seconds, ReadNumber(entry, where, field.least, field.most));
+      limits->*(field.seconds) = seconds;
+    } else {
+      BOOST_OUTCOME_TRY(count, ReadWhole(entry, where, field.least, field.most));
+      limits->*(field.count) = static_cast<uint32_t>(count);
+    }
+    return Success();
+  }
+  return UnknownEntry(where, entry);
+}
+
+// Sets the revision, or adds what the section has.
+Check ReadSection(const SExpression& section, DisruptionPolicy* policy) {
+  const std::string name = section.Name();
+  if (name == "revision") {
+    BOOST_OUTCOME_TRY(revision, ReadWhole(section, "disruption", 1, kMostRevision));
+    policy->revision = static_cast<uint64_t>(revision);
+    return Success();
+  }
+  if (name == "budgets") {
+    return ForEachList(section, 1, name,
+                       [policy](const SExpression& entry) { return ReadBudget(entry, policy); });
   }
+  if (name == "drains") {
+    return ForEachList(section, 1, name,
+                       [policy](const SExpression& entry) { return ReadDrain(entry, policy); });
+  }
+  if (name == "steps") {
+    return ForEachList(section, 1, name, [policy](const SExpression& entry) {
+      return ReadLimit(entry, &policy->times);
+    });
+  }
+  return UnknownEntry("disruption", section);
+}
+
+// What is wrong, without the place.
+std::string DescribeKind(const PolicyError& error) {
+  switch (error.kind) {
+    case PolicyErrorKind::kNotSExpression:
+      return DescribeError(error.syntax);
+    case PolicyErrorKind::kWrongRoot:
+      return "does not begin with (disruption";
+    case PolicyErrorKind::kNotList:
+      return "not a list: '" + error.detail + "'";
+    case PolicyErrorKind::kUnknownEntry:
+      return "unknown entry '" + error.detail + "'";
+    case PolicyErrorKind::kMissingValue:
+      return "a value is missing";
+    case PolicyErrorKind::kOutOfRange:
+      return "not a number from " + error.detail;
+    case PolicyErrorKind::kNotWhole:
+      return "not a whole number";
+    case PolicyErrorKind::kInvalidLimit:
+      return "neither a number of replicas nor a share up to 100%: '" + error.detail + "'";
+    case PolicyErrorKind::kNotWholeReplicas:
+      return "not a whole number of replicas";
+    case PolicyErrorKind::kMisplacedAtLeastOne:
+      return "only at-least-one may follow, and only a share";
+    case PolicyErrorKind::kMissingName:
+      return "a name is missing";
+    case PolicyErrorKind::kInvalidDrainName:
+      return "a name of 1 to " + std::to_string(kLongestName) + " bytes is missing";
+    case PolicyErrorKind::kDuplicate:
+      return "given twice";
+    case PolicyErrorKind::kTooManyDrains:
+      return "more than " + std::to_string(kMostDrains);
+    case PolicyErrorKind::kNotNetwork:
+      return "not an IPv4 network like 10.1.4.0/24: '" + error.detail + "'";
+    case PolicyErrorKind::kNoSelection:
+      return "names no machine, type, zone or network; all machines: (everything)";
+    case PolicyErrorKind::kConflictingSelection:
+      return "(everything) goes with no other selection";
+    case PolicyErrorKind::kMissingRevision:
+      return "a revision is missing";
+    case PolicyErrorKind::kUnknownTeam:
+      return "no such team: " + error.detail;
+    case PolicyErrorKind::kUnknownZone:
+      return "no such zone: " + error.detail;
+    case PolicyErrorKind::kUnreadableFile:
+      return "can't be read";
+    case PolicyErrorKind::kTooLarge:
+      return "takes " + std::to_string(error.bytes) +
+             " bytes, but a value of the state service holds " + std::to_string(error.max_bytes);
+  }
+  return "";
 }
 
 }  // namespace
@@ -265,51 +386,49 @@
   return it == drains.end() ? nullptr : &*it;
 }
 
-std::string ReadPolicy(const std::string& text, DisruptionPolicy* out) {
-  *out = DisruptionPolicy();
-  out->text = text;
+std::string DescribeError(const PolicyError& error) {
+  const std::string text = DescribeKind(error);
+  return error.where.empty() ? text : error.where + ": " + text;
+}
+
+Result<DisruptionPolicy, PolicyError> ReadPolicy(const std::string& text) {
   const auto root = SExpression::Parse(text);
-  if (!root.has_value()) return DescribeError(root.error());
-  if (root.value().Name() != "disruption") return "does not begin with (disruption";
-  Reader reader;
-  bool has_revision = false;
-  reader.ForEach(root.value(), 1, "disruption", [&](const SExpression& section) {
-    if (section.Name() == "revision") {
-      out->revision = static_cast<uint64_t>(reader.Whole(section, "disruption", 1, kMostRevision));
-      has_revision = true;
-    } else if (section.Name() == "budgets") {
-      reader.ForEach(section, 1, "budgets",
-                     [&](const SExpression& expression) { ReadBudget(expression, out, &reader); });
-    } else if (section.Name() == "drains") {
-      reader.ForEach(section, 1, "drains",
-                     [&](const SExpression& expression) { ReadDrain(expression, out, &reader); });
-    } else if (section.Name() == "steps") {
-      reader.ForEach(section, 1, "steps", [&](const SExpression& expression) {
-        ReadTime(expression, &out->times, &reader);
-      });
-    } else {
-      reader.Fail("disruption", "unknown entry '" + section.Name() + "'");
-    }
-  });
-  if (reader.ok() && !has_revision) reader.Fail("disruption", "a revision is missing");
-  return reader.reason();
+  if (!root.has_value()) {
+    return PolicyError{.kind = PolicyErrorKind::kNotSExpression, .syntax = root.error()};
+  }
+  if (root.value().Name() != "disruption") return PolicyError{PolicyErrorKind::kWrongRoot};
+  DisruptionPolicy policy;
+  policy.text = text;
+  BOOST_OUTCOME_TRYV(ForEachList(root.value(), 1, "disruption", [&](const SExpression& section) {
+    return ReadSection(section, &policy);
+  }));
+  // One that was read is 1 or more.
+  if (policy.revision == 0) return PolicyError{PolicyErrorKind::kMissingRevision, "disruption"};
+  return policy;
 }
 
-std::string CheckPolicy(const DisruptionPolicy& policy, const Settings& settings) {
+std::string ReadPolicy(const std::string& text, DisruptionPolicy* policy) {
+  auto result = ReadPolicy(text);
+  if (!result.has_value()) return DescribeError(result.error());
+  *policy = std::move(result.value());
+  return "";
+}
+
+Result<void, PolicyError> CheckPolicy(const DisruptionPolicy& policy, const Settings& settings) {
   for (const DisruptionBudget& budget : policy.budgets) {
     const bool known =
         std::any_of(settings.teams.begin(), settings.teams.end(),
                     [&budget](const Team& team) { return team.name == budget.team; });
-    if (!known) return "budgets: no such team: " + budget.team;
+    if (!known) return PolicyError{PolicyErrorKind::kUnknownTeam, "budgets", budget.team};
   }
   const std::set<std::string> zones(settings.zones.begin(), settings.zones.end());
   for (const DrainRequest& drain : policy.drains) {
     const std::string& zone = drain.machines.zone;
     if (!zone.empty() && !zones.contains(zone)) {
-      return "drain " + drain.name + ": no such zone: " + zone;
+      return PolicyError{PolicyErrorKind::kUnknownZone, "drain " + drain.name, zone};
     }
   }
-  return "";
+  return Success();
 }
 
 }  // namespace deckhall
--- a/src/drain/policy.h
+++ b/src/drain/policy.h
@@ -1,5 +1,8 @@
 // What operators want drained, and how much may be down meanwhile: the typed form of the
 // disruption file.
+//
+// A policy that was read is consistent in itself; CheckPolicy tells whether it goes with the
+// platform's settings. It is shared and never changed once it is in force.
 #pragma once
 
 #include <boost/asio/ip/network_v4.hpp>
@@ -8,7 +11,9 @@
 #include <string>
 #include <vector>
 
+#include "common/result.h"
 #include "config/settings.h"
+#include "config/sexpression.h"
 
 namespace deckhall {
 
@@ -76,10 +81,50 @@
   const DrainRequest* Find(const std::string& drain) const;
 };
 
-// Reads the disruption file. Returns the reason why the text is none, or an empty string.
-std::string ReadPolicy(const std::string& text, DisruptionPolicy* out);
+enum class PolicyErrorKind {
+  kNotSExpression,
+  kWrongRoot,  // another file, perhaps
+  kNotList,
+  kUnknownEntry,
+  kMissingValue,
+  kOutOfRange,  // a number
+  kNotWhole,
+  kInvalidLimit,  // of replicas that are down
+  kNotWholeReplicas,
+  kMisplacedAtLeastOne,
+  kMissingName,
+  kInvalidDrainName,
+  kDuplicate,
+  kTooManyDrains,
+  kNotNetwork,
+  kNoSelection,           // a drain names no machines
+  kConflictingSelection,  // a drain names all machines and some
+  kMissingRevision,
+  kUnknownTeam,
+  kUnknownZone,
+  kUnreadableFile,
+  kTooLarge,  // for a value of the state service
+};
+
+// Why a policy can't be used.
+struct PolicyError {
+  PolicyErrorKind kind;
+  std::string where = {};        // the entry of the file; empty: the whole of it
+  std::string detail = {};       // the unusable part
+  SExpressionError syntax = {};  // of kNotSExpression
+  size_t bytes = 0;              // of kTooLarge: the stored form
+  size_t max_bytes = 0;          // of kTooLarge
+};
+
+// The error in one line, for operators.
+std::string DescribeError(const PolicyError& error);
+
+// Reads the text of the disruption file. A policy that was read has a revision above 0.
+Result<DisruptionPolicy, PolicyError> ReadPolicy(const std::string& text);
+// The old form: the error in words, or an empty string and the policy.
+std::string ReadPolicy(const std::string& text, DisruptionPolicy* policy);
 
-// Checks what only the platform's settings tell: teams and zones. Returns a reason likewise.
-std::string CheckPolicy(const DisruptionPolicy& policy, const Settings& settings);
+// Checks what only the platform's settings tell: teams and zones.
+Result<void, PolicyError> CheckPolicy(const DisruptionPolicy& policy, const Settings& settings);
 
 }  // namespace deckhall
--- a/src/drain/policy_replicator.cc
+++ b/src/drain/policy_replicator.cc
@@ -2,6 +2,9 @@
 
 #include <spdlog/spdlog.h>
 
+#include <boost/outcome/try.hpp>
+#include <utility>
+
 #include "wire/json.h"
 
 namespace deckhall {
@@ -12,6 +15,13 @@
 // Of a value, so that its size may be counted in another way than ours.
 constexpr double kValueShare = 0.85;
 
+Result<DisruptionPolicy, PolicyError> ReadAndCheckPolicy(const std::string& text,
+                                                         const Settings& settings) {
+  BOOST_OUTCOME_TRY(policy, ReadPolicy(text));
+  BOOST_OUTCOME_TRYV(CheckPolicy(policy, settings));
+  return std::move(policy);
+}
+
 }  // namespace
 
 std::string EncodePolicy(const DisruptionPolicy& policy) {
@@ -93,14 +103,12 @@
   if (text == local_->text) {
     in_force_ = local_;
   } else {
-    auto policy = std::make_shared<DisruptionPolicy>();
-    std::string bad = ReadPolicy(text, policy.get());
-    if (bad.empty()) bad = CheckPolicy(*policy, *settings_);
-    if (!bad.empty()) {
-      LogOnce("the stored disruption policy can't be used here: " + bad);
+    auto policy = ReadAndCheckPolicy(text, *settings_);
+    if (!policy.has_value()) {
+      LogOnce("the stored disruption policy can't be used here: " + DescribeError(policy.error()));
       return false;
     }
-    in_force_ = std::move(policy);
+    in_force_ = std::make_shared<const DisruptionPolicy>(std::move(policy.value()));
   }
   spdlog::info("disruption policy {} is in force: {} budgets, {} drains", in_force_->revision,
                in_force_->budgets.size(), in_force_->drains.size());
--- a/tests/drain_policy_test.cc
+++ b/tests/drain_policy_test.cc
@@ -31,16 +31,32 @@
   return settings;
 }
 
+// Why the text is refused, in words; empty when it is not.
+std::string ReasonOf(const std::string& text) {
+  const auto policy = ReadPolicy(text);
+  return policy.has_value() ? "" : DescribeError(policy.error());
+}
+
+std::string ReasonOfCheck(const DisruptionPolicy& policy) {
+  const auto check = CheckPolicy(policy, TwoTeams());
+  return check.has_value() ? "" : DescribeError(check.error());
+}
+
 std::string Refused(const std::string& sections) {
-  DisruptionPolicy policy;
-  std::string bad = ReadPolicy("(disruption (revision \"1\") " + sections + ")", &policy);
-  return bad.empty() ? CheckPolicy(policy, TwoTeams()) : bad;
+  const auto policy = ReadPolicy("(disruption (revision \"1\") " + sections + ")");
+  if (!policy.has_value()) return DescribeError(policy.error());
+  return ReasonOfCheck(policy.value());
+}
+
+DisruptionPolicy PolicyOf(const std::string& text) {
+  auto policy = ReadPolicy(text);
+  if (!policy.has_value()) throw std::invalid_argument(DescribeError(policy.error()));
+  return policy.value();
 }
 
 TEST(DrainPolicy, IsReadWhole) {
-  DisruptionPolicy p;
-  ASSERT_EQ(ReadPolicy(kGood, &p), "");
-  EXPECT_EQ(CheckPolicy(p, TwoTeams()), "");
+  const DisruptionPolicy p = PolicyOf(kGood);
+  EXPECT_EQ(ReasonOfCheck(p), "");
   EXPECT_EQ(p.revision, 7U);
   EXPECT_EQ(p.default_down.Of(100), 2U);
   ASSERT_EQ(p.budgets.size(), 2U);
@@ -60,8 +76,7 @@
 TEST(DrainPolicy, TheSampleIsOne) {
   std::ifstream in(DECKHALL_SOURCES "/deploy/disruption.sample.sexp");
   const std::string text{std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
-  DisruptionPolicy p;
-  EXPECT_EQ(ReadPolicy(text, &p), "");
+  const DisruptionPolicy p = PolicyOf(text);
   EXPECT_EQ(p.drains.size(), 3U);
 }
 
@@ -74,8 +89,7 @@
 }
 
 TEST(DrainPolicy, SelectsByNameTypeZoneAndNetworkTogether) {
-  DisruptionPolicy p;
-  ASSERT_EQ(ReadPolicy(kGood, &p), "");
+  const DisruptionPolicy p = PolicyOf(kGood);
   const MachineSelector& zone = p.Find("west")->machines;
   EXPECT_TRUE(zone.Matches("m-5", "box", "west", ""));
   EXPECT_FALSE(zone.Matches("m-5", "box", "east", ""));
@@ -123,12 +137,10 @@
     EXPECT_NE(bad.find(reason), std::string::npos) << sections << ": '" << bad << "'";
     EXPECT_EQ(bad.find('\n'), std::string::npos) << sections;
   }
-  DisruptionPolicy p;
-  EXPECT_NE(ReadPolicy("(disruption (budgets))", &p).find("revision"), std::string::npos);
-  EXPECT_NE(ReadPolicy("(disruption (revision \"1\"", &p).find("not an S-expression"),
-            std::string::npos);
-  EXPECT_NE(ReadPolicy("(deckhall)", &p), "");
-  EXPECT_NE(ReadPolicy("", &p), "");
+  EXPECT_NE(ReasonOf("(disruption (budgets))").find("revision"), std::string::npos);
+  EXPECT_NE(ReasonOf("(disruption (revision \"1\"").find("not an S-expression"), std::string::npos);
+  EXPECT_NE(ReasonOf("(deckhall)"), "");
+  EXPECT_NE(ReasonOf(""), "");
 }
 
 class PolicyFileTest : public ::testing::Test {
@@ -164,22 +176,21 @@
 TEST_F(PolicyFileTest, OneThatNoValueHoldsIsRefused) {
   settings_.effective_state_limits.value_kb = 0.5;
   Write(kGood);
-  DisruptionPolicy policy;
-  EXPECT_NE(LoadPolicyFile(path_, settings_, &policy).find("a value of the state service"),
+  const auto too_large = LoadPolicyFile(path_, settings_);
+  ASSERT_FALSE(too_large.has_value());
+  EXPECT_NE(DescribeError(too_large.error()).find("a value of the state service"),
             std::string::npos);
-  EXPECT_EQ(LoadPolicyFile(path_ + ".none", settings_, &policy), "can't be read");
+  const auto missing = LoadPolicyFile(path_ + ".none", settings_);
+  ASSERT_FALSE(missing.has_value());
+  EXPECT_EQ(DescribeError(missing.error()), "can't be read");
 }
 
 // Two controllers with files of their own, and one state service.
 class ReplicatorTest : public ::testing::Test {
  protected:
   static std::shared_ptr<DisruptionPolicy> Revision(uint64_t revision, const std::string& rest) {
-    auto policy = std::make_shared<DisruptionPolicy>();
-    EXPECT_EQ(
-        ReadPolicy("(disruption (revision \"" + std::to_string(revision) + "\") " + rest + ")",
-                   policy.get()),
-        "");
-    return policy;
+    return std::make_shared<DisruptionPolicy>(
+        PolicyOf("(disruption (revision \"" + std::to_string(revision) + "\") " + rest + ")"));
   }
   void Turn(double seconds = 6) {
     for (int i = 0; i < 8; ++i) {
--- a/tests/drain_world.cc
+++ b/tests/drain_world.cc
@@ -13,12 +13,13 @@
 }
 
 void DrainWorld::Policy(const std::string& sections, bool confirmed) {
-  auto policy = std::make_shared<DisruptionPolicy>();
   const std::string text =
       "(disruption (revision \"" + std::to_string(++revision_) + "\") " + sections + ")";
-  EXPECT_EQ(ReadPolicy(text, policy.get()), "") << text;
-  EXPECT_EQ(CheckPolicy(*policy, settings), "") << text;
-  policy_ = policy;
+  auto policy = ReadPolicy(text);
+  ASSERT_TRUE(policy.has_value()) << DescribeError(policy.error()) << ": " << text;
+  const auto check = CheckPolicy(policy.value(), settings);
+  EXPECT_TRUE(check.has_value()) << DescribeError(check.error()) << ": " << text;
+  policy_ = std::make_shared<const DisruptionPolicy>(std::move(policy.value()));
   most_down_.clear();
   leader->ApplyDisruptionPolicy(policy_, confirmed);
 }
--- a/tests/golden_rows_test.cc
+++ b/tests/golden_rows_test.cc
@@ -565,9 +565,9 @@
     R"json((zone \"west\"))))"})json";
 
 std::shared_ptr<DisruptionPolicy> PolicyOf(const std::string& text) {
-  auto policy = std::make_shared<DisruptionPolicy>();
-  EXPECT_EQ(ReadPolicy(text, policy.get()), "");
-  return policy;
+  auto policy = ReadPolicy(text);
+  if (!policy.has_value()) throw std::invalid_argument(DescribeError(policy.error()));
+  return std::make_shared<DisruptionPolicy>(std::move(policy.value()));
 }
 
 TEST(GoldenRows, TheDisruptionPolicyIsWrittenAsEver) {
