--- a/src/api/http_api.cc
+++ b/src/api/http_api.cc
@@ -66,7 +66,13 @@
       return;
     }
     job_request.operation = JobOperation::kSubmit;
-    job_request.validation_error = ParseJob(request.body, &job_request.job_id, &job_request.job);
+    JobSubmission submission = ParseJob(request.body);
+    job_request.job_id = std::move(submission.job_id);
+    if (submission.spec.has_value()) {
+      job_request.job = std::move(submission.spec.value());
+    } else {
+      job_request.validation_error = DescribeError(submission.spec.error());
+    }
     // Without a usable id nobody can know the job.
     if (job_request.job_id.empty()) {
       reply(Error(400, job_request.validation_error.c_str()));
--- a/src/wire/job_codec.cc
+++ b/src/wire/job_codec.cc
@@ -1,121 +1,248 @@
+// Jobs on the wire.
+//
+//   wire word    term
+//   name_id      job id
+//   clase        job class
+//   cuadrilla    team
+//   forma        kind: "sweep" an array, "daemon" a service, "ensemble" a gang
+//   rango        priority
+//   faenas       number of tasks
+//   carga        image
+//   cascos       allowed machine types
+//   muelle       zone
+//   one_zone     single-zone
+//   apart        anti-affinity
+//   prestados    spot-tolerant
+//   rumbo_s      estimated run time
+//   bitacora_s   checkpoint interval
+//   estiba_s     checkpoint grace period
+//   arribo_s     deadline
+//   estado       job state
 #include "wire/job_codec.h"
 
 #include <algorithm>
+#include <boost/outcome/try.hpp>
+#include <utility>
+
+#include "wire/enum_words.h"
 
 namespace deckhall {
 namespace {
 
-constexpr uint32_t kMostTasks = 100000;
-constexpr double kMostAmount = 1e9;
-constexpr size_t kMostName = 200;
+using Check = Result<void, JobSpecError>;
+
+constexpr uint32_t kMaxTasks = 100000;
+constexpr double kMaxAmount = 1e9;
+constexpr size_t kMaxNameBytes = 200;
+constexpr size_t kMaxAllowedTypes = 1000;
 
-const char* const kPriorityWords[] = {"idle", "normal", "urgent", "production"};
+constexpr EnumWord<Priority> kPriorityWords[] = {{Priority::kIdle, "idle"},
+                                                 {Priority::kNormal, "normal"},
+                                                 {Priority::kUrgent, "urgent"},
+                                                 {Priority::kProduction, "production"}};
+constexpr EnumWord<JobState> kJobStateWords[] = {{JobState::kPending, "pending"},
+                                                 {JobState::kRunning, "running"},
+                                                 {JobState::kDone, "done"},
+                                                 {JobState::kCancelled, "aborted"}};
 
-bool ReadName(const JsonValue& object, const char* field, std::string* out) {
-  if (!JsonString(object, field, out) || out->empty() || out->size() > kMostName) return false;
-  return std::all_of(out->begin(), out->end(), [](char c) {
+// What a job's tasks are to each other.
+enum class JobKind { kArray, kService, kGang };
+constexpr EnumWord<JobKind> kJobKindWords[] = {
+    {JobKind::kArray, "sweep"}, {JobKind::kService, "daemon"}, {JobKind::kGang, "ensemble"}};
+
+JobKind KindOf(const JobSpec& job) {
+  if (job.service) return JobKind::kService;
+  return job.gang ? JobKind::kGang : JobKind::kArray;
+}
+
+JobSpecError InvalidField(const char* field) { return {JobSpecErrorKind::kInvalidField, field}; }
+
+bool IsPrintable(const std::string& name) {
+  return std::all_of(name.begin(), name.end(), [](char c) {
     return static_cast<unsigned char>(c) > 32 && static_cast<unsigned char>(c) != 127;
   });
 }
 
-bool ReadQuantity(const JsonValue& object, const char* field, double* out) {
-  return JsonNumber(object, field, out) && *out >= 0 && *out <= kMostAmount;
+Result<std::string, JobSpecError> ReadName(const JsonValue& object, const char* field) {
+  std::string name;
+  if (!JsonString(object, field, &name) || name.empty() || name.size() > kMaxNameBytes ||
+      !IsPrintable(name)) {
+    return InvalidField(field);
+  }
+  return name;
 }
 
-std::string InvalidField(const char* field) { return std::string("missing or invalid: ") + field; }
-
-// Absent or null keeps the default; anything but a boolean is an error.
-bool ReadFlag(const JsonValue& object, const char* field, bool* out) {
-  if (JsonMember(object, field) == nullptr) return true;
-  return JsonBool(object, field, out);
+Result<double, JobSpecError> ReadAmount(const JsonValue& object, const char* field) {
+  double amount = 0;
+  if (!JsonNumber(object, field, &amount) || amount < 0 || amount > kMaxAmount) {
+    return InvalidField(field);
+  }
+  return amount;
 }
 
-}  // namespace
+// An amount that may be left out: 0.
+Result<double, JobSpecError> ReadOptionalAmount(const JsonValue& object, const char* field) {
+  if (JsonMember(object, field) == nullptr) return 0.0;
+  return ReadAmount(object, field);
+}
 
-bool ValidJobId(std::string_view id) {
-  if (id.size() < 5 || id.size() > 24 || id.substr(0, 4) != "job-") return false;
-  return std::all_of(id.begin() + 4, id.end(), [](char c) { return c >= '0' && c <= '9'; });
+// Absent or null is false; anything but a boolean is an error.
+Result<bool, JobSpecError> ReadFlag(const JsonValue& object, const char* field) {
+  bool flag = false;
+  if (JsonMember(object, field) != nullptr && !JsonBool(object, field, &flag)) {
+    return InvalidField(field);
+  }
+  return flag;
 }
 
-std::string ParseJob(std::string_view body, std::string* id, JobSpec* job) {
-  rapidjson::Document doc;
-  if (!ParseJson(body, &doc)) return "not JSON";
-  if (!doc.IsObject()) return "not an object";
-  std::string given;
-  if (JsonString(doc, "name_id", &given) && ValidJobId(given)) *id = given;
-  return ReadJob(doc, job);
+template <class Enum, size_t N>
+Result<Enum, JobSpecError> ReadWord(const JsonValue& object, const char* field,
+                                    const EnumWord<Enum> (&words)[N]) {
+  std::string word;
+  if (!JsonString(object, field, &word)) return InvalidField(field);
+  const std::optional<Enum> value = EnumOf(words, word);
+  if (!value) return InvalidField(field);
+  return *value;
 }
 
-std::string ReadJob(const JsonValue& object, JobSpec* job) {
-  if (!JsonString(object, "name_id", &job->id) || !ValidJobId(job->id))
+// Who asks, for what kind of job.
+Check ReadIdentity(const JsonValue& object, JobSpec* job) {
+  if (!JsonString(object, "name_id", &job->id) || !ValidJobId(job->id)) {
     return InvalidField("name_id");
-  if (!ReadName(object, "clase", &job->job_class)) return InvalidField("clase");
-  if (!ReadName(object, "cuadrilla", &job->team)) return InvalidField("cuadrilla");
-  std::string word;
-  if (!JsonString(object, "forma", &word)) return InvalidField("forma");
-  if (word != "sweep" && word != "daemon" && word != "ensemble") return InvalidField("forma");
-  job->service = word == "daemon";
-  job->gang = word == "ensemble";
-  if (!JsonString(object, "rango", &word)) return InvalidField("rango");
-  auto* const end = std::end(kPriorityWords);
-  auto* const at = std::find(std::begin(kPriorityWords), end, word);
-  if (at == end) return InvalidField("rango");
-  job->priority = static_cast<Priority>(at - std::begin(kPriorityWords));
-  uint64_t tasks = 0;
-  if (!JsonU64(object, "faenas", &tasks) || tasks == 0 || tasks > kMostTasks)
+  }
+  BOOST_OUTCOME_TRY(job_class, ReadName(object, "clase"));
+  job->job_class = std::move(job_class);
+  BOOST_OUTCOME_TRY(team, ReadName(object, "cuadrilla"));
+  job->team = std::move(team);
+  BOOST_OUTCOME_TRY(kind, ReadWord(object, "forma", kJobKindWords));
+  job->service = kind == JobKind::kService;
+  job->gang = kind == JobKind::kGang;
+  BOOST_OUTCOME_TRY(priority, ReadWord(object, "rango", kPriorityWords));
+  job->priority = priority;
+  return Success();
+}
+
+// What the tasks take of their machines.
+Check ReadRequirements(const JsonValue& object, JobSpec* job) {
+  uint64_t task_count = 0;
+  if (!JsonU64(object, "faenas", &task_count) || task_count == 0 || task_count > kMaxTasks) {
     return InvalidField("faenas");
-  job->task_count = static_cast<uint32_t>(tasks);
-  if (!ReadQuantity(object, "cores", &job->cores)) return InvalidField("cores");
-  if (JsonMember(object, "gpus") != nullptr && !ReadQuantity(object, "gpus", &job->gpus))
-    return InvalidField("gpus");
-  if (!ReadQuantity(object, "memory_gb", &job->memory_gb)) return InvalidField("memory_gb");
-  if (!ReadName(object, "carga", &job->image)) return InvalidField("carga");
-  if (!ReadQuantity(object, "image_gb", &job->image_gb)) return InvalidField("image_gb");
-  if (const JsonValue* types = JsonMember(object, "cascos")) {
-    if (!types->IsArray() || types->Size() > 1000) return InvalidField("cascos");
-    job->allowed_types.emplace();
-    for (const auto& t : types->GetArray()) {
-      if (!t.IsString() || t.GetStringLength() == 0 || t.GetStringLength() > kMostName) {
-        return InvalidField("cascos");
-      }
-      job->allowed_types->emplace_back(t.GetString(), t.GetStringLength());
-    }
   }
-  if (JsonMember(object, "muelle") != nullptr && !ReadName(object, "muelle", &job->zone)) {
-    return InvalidField("muelle");
+  job->task_count = static_cast<uint32_t>(task_count);
+  BOOST_OUTCOME_TRY(cores, ReadAmount(object, "cores"));
+  job->cores = cores;
+  BOOST_OUTCOME_TRY(gpus, ReadOptionalAmount(object, "gpus"));
+  job->gpus = gpus;
+  BOOST_OUTCOME_TRY(memory_gb, ReadAmount(object, "memory_gb"));
+  job->memory_gb = memory_gb;
+  BOOST_OUTCOME_TRY(image, ReadName(object, "carga"));
+  job->image = std::move(image);
+  BOOST_OUTCOME_TRY(image_gb, ReadAmount(object, "image_gb"));
+  job->image_gb = image_gb;
+  return Success();
+}
+
+Result<std::vector<std::string>, JobSpecError> ReadTypeNames(const JsonValue& types) {
+  if (!types.IsArray() || types.Size() > kMaxAllowedTypes) return InvalidField("cascos");
+  std::vector<std::string> names;
+  for (const auto& type : types.GetArray()) {
+    if (!type.IsString() || type.GetStringLength() == 0 || type.GetStringLength() > kMaxNameBytes) {
+      return InvalidField("cascos");
+    }
+    names.emplace_back(type.GetString(), type.GetStringLength());
   }
-  if (!ReadFlag(object, "one_zone", &job->single_zone)) return InvalidField("one_zone");
-  if (!ReadFlag(object, "apart", &job->anti_affinity)) return InvalidField("apart");
-  if (!ReadFlag(object, "prestados", &job->spot_tolerant)) return InvalidField("prestados");
-  if (!ReadQuantity(object, "rumbo_s", &job->estimated_runtime_s)) return InvalidField("rumbo_s");
-  if (JsonMember(object, "bitacora_s") != nullptr &&
-      !ReadQuantity(object, "bitacora_s", &job->checkpoint_interval_s)) {
-    return InvalidField("bitacora_s");
+  return names;
+}
+
+// Which machines the tasks may be on.
+Check ReadConstraints(const JsonValue& object, JobSpec* job) {
+  if (const JsonValue* types = JsonMember(object, "cascos")) {
+    BOOST_OUTCOME_TRY(names, ReadTypeNames(*types));
+    job->allowed_types = std::move(names);
   }
-  if (JsonMember(object, "estiba_s") != nullptr &&
-      !ReadQuantity(object, "estiba_s", &job->checkpoint_grace_s)) {
-    return InvalidField("estiba_s");
+  if (JsonMember(object, "muelle") != nullptr) {
+    BOOST_OUTCOME_TRY(zone, ReadName(object, "muelle"));
+    job->zone = std::move(zone);
   }
+  BOOST_OUTCOME_TRY(single_zone, ReadFlag(object, "one_zone"));
+  job->single_zone = single_zone;
+  BOOST_OUTCOME_TRY(anti_affinity, ReadFlag(object, "apart"));
+  job->anti_affinity = anti_affinity;
+  BOOST_OUTCOME_TRY(spot_tolerant, ReadFlag(object, "prestados"));
+  job->spot_tolerant = spot_tolerant;
+  return Success();
+}
+
+Check ReadTimes(const JsonValue& object, JobSpec* job) {
+  BOOST_OUTCOME_TRY(estimated_runtime_s, ReadAmount(object, "rumbo_s"));
+  job->estimated_runtime_s = estimated_runtime_s;
+  BOOST_OUTCOME_TRY(checkpoint_interval_s, ReadOptionalAmount(object, "bitacora_s"));
+  job->checkpoint_interval_s = checkpoint_interval_s;
+  BOOST_OUTCOME_TRY(checkpoint_grace_s, ReadOptionalAmount(object, "estiba_s"));
+  job->checkpoint_grace_s = checkpoint_grace_s;
   if (JsonMember(object, "arribo_s") != nullptr) {
-    double deadline = 0;
-    if (!ReadQuantity(object, "arribo_s", &deadline)) return InvalidField("arribo_s");
-    job->deadline_s = deadline;
+    BOOST_OUTCOME_TRY(deadline_s, ReadAmount(object, "arribo_s"));
+    job->deadline_s = deadline_s;
+  }
+  return Success();
+}
+
+}  // namespace
+
+std::string DescribeError(const JobSpecError& error) {
+  switch (error.kind) {
+    case JobSpecErrorKind::kNotJson:
+      return "not JSON";
+    case JobSpecErrorKind::kNotObject:
+      return "not an object";
+    case JobSpecErrorKind::kInvalidField:
+      return "missing or invalid: " + error.field;
   }
   return "";
 }
 
+bool ValidJobId(std::string_view id) {
+  if (id.size() < 5 || id.size() > 24 || id.substr(0, 4) != "job-") return false;
+  return std::all_of(id.begin() + 4, id.end(), [](char c) { return c >= '0' && c <= '9'; });
+}
+
+JobSubmission ParseJob(std::string_view body) {
+  rapidjson::Document document;
+  if (!ParseJson(body, &document)) return {"", JobSpecError{JobSpecErrorKind::kNotJson}};
+  if (!document.IsObject()) return {"", JobSpecError{JobSpecErrorKind::kNotObject}};
+  std::string job_id;
+  if (!JsonString(document, "name_id", &job_id) || !ValidJobId(job_id)) job_id.clear();
+  return {std::move(job_id), ReadJob(document)};
+}
+
+Result<JobSpec, JobSpecError> ReadJob(const JsonValue& object) {
+  JobSpec job;
+  BOOST_OUTCOME_TRYV(ReadIdentity(object, &job));
+  BOOST_OUTCOME_TRYV(ReadRequirements(object, &job));
+  BOOST_OUTCOME_TRYV(ReadConstraints(object, &job));
+  BOOST_OUTCOME_TRYV(ReadTimes(object, &job));
+  return job;
+}
+
+std::string ReadJob(const JsonValue& object, JobSpec* job) {
+  auto result = ReadJob(object);
+  if (!result.has_value()) return DescribeError(result.error());
+  *job = std::move(result.value());
+  return "";
+}
+
 void WriteJob(JsonWriter& writer, const JobSpec& job) {
   writer.StartObject();
   PutString(writer, "name_id", job.id);
   PutString(writer, "clase", job.job_class);
   PutString(writer, "cuadrilla", job.team);
-  PutString(writer, "forma", job.service ? "daemon" : job.gang ? "ensemble" : "sweep");
-  PutString(writer, "rango", kPriorityWords[static_cast<int>(job.priority)]);
+  PutString(writer, "forma", WordOf(kJobKindWords, KindOf(job)));
+  PutString(writer, "rango", WordOf(kPriorityWords, job.priority));
   writer.Key("faenas");
   writer.Uint(job.task_count);
-  auto number = [&writer](const char* name, double v) {
+  auto number = [&writer](const char* name, double value) {
     writer.Key(name);
-    writer.Double(v);
+    writer.Double(value);
   };
   number("cores", job.cores);
   if (job.gpus > 0) number("gpus", job.gpus);
@@ -125,14 +252,14 @@
   if (job.allowed_types) {
     writer.Key("cascos");
     writer.StartArray();
-    for (const auto& t : *job.allowed_types) writer.String(t);
+    for (const auto& type : *job.allowed_types) writer.String(type);
     writer.EndArray();
   }
   if (!job.zone.empty()) PutString(writer, "muelle", job.zone);
-  auto flag = [&writer](const char* name, bool v) {
-    if (!v) return;
+  auto flag = [&writer](const char* name, bool value) {
+    if (!value) return;
     writer.Key(name);
-    writer.Bool(v);
+    writer.Bool(value);
   };
   flag("one_zone", job.single_zone);
   flag("apart", job.anti_affinity);
@@ -144,19 +271,7 @@
   writer.EndObject();
 }
 
-const char* JobStateWord(JobState state) {
-  switch (state) {
-    case JobState::kPending:
-      return "pending";
-    case JobState::kRunning:
-      return "running";
-    case JobState::kDone:
-      return "done";
-    case JobState::kCancelled:
-      return "aborted";
-  }
-  return "pending";
-}
+const char* JobStateWord(JobState state) { return WordOf(kJobStateWords, state, "pending"); }
 
 std::string EncodeJobResponse(const JobRequest& request, const JobResponse& response) {
   if (response.status != 200 && response.status != 201) return EncodeError(response.error);
--- a/tests/golden_wire_test.cc
+++ b/tests/golden_wire_test.cc
@@ -262,19 +262,18 @@
 TEST(GoldenJobWire, AMinimalJobIsEncodedAsEver) { EXPECT_EQ(Written(MinimalJob()), kMinimalJob); }
 
 TEST(GoldenJobWire, AFullJobIsReadIntoEveryField) {
-  std::string id;
-  JobSpec job;
-  ASSERT_EQ(ParseJob(kFullJob, &id, &job), "");
-  EXPECT_EQ(id, "job-000412");
-  ExpectSameJob(job, FullJob());
+  const JobSubmission submission = ParseJob(kFullJob);
+  ASSERT_TRUE(submission.spec.has_value()) << DescribeError(submission.spec.error());
+  EXPECT_EQ(submission.job_id, "job-000412");
+  ExpectSameJob(submission.spec.value(), FullJob());
 }
 
 TEST(GoldenJobWire, AMinimalJobIsReadWithDefaults) {
   rapidjson::Document document;
   ASSERT_TRUE(ParseJson(kMinimalJob, &document));
-  JobSpec job;
-  ASSERT_EQ(ReadJob(document, &job), "");
-  ExpectSameJob(job, MinimalJob());
+  const auto job = ReadJob(document);
+  ASSERT_TRUE(job.has_value()) << DescribeError(job.error());
+  ExpectSameJob(job.value(), MinimalJob());
 }
 
 // The minimal job with another word.
@@ -288,10 +287,9 @@
 
 void ExpectWrittenAndRead(const JobSpec& job, const std::string& text) {
   EXPECT_EQ(Written(job), text);
-  std::string id;
-  JobSpec read;
-  ASSERT_EQ(ParseJob(text, &id, &read), "") << text;
-  ExpectSameJob(read, job);
+  const JobSubmission submission = ParseJob(text);
+  ASSERT_TRUE(submission.spec.has_value()) << text;
+  ExpectSameJob(submission.spec.value(), job);
 }
 
 TEST(GoldenJobWire, EveryPriorityHasItsWord) {
@@ -316,17 +314,20 @@
   ExpectWrittenAndRead(gang, MinimalWith("forma", "sweep", "ensemble"));
 }
 
+// Why a submission is refused, in words; empty when it is not.
+std::string ReasonOf(const std::string& body) {
+  const JobSubmission submission = ParseJob(body);
+  return submission.spec.has_value() ? "" : DescribeError(submission.spec.error());
+}
+
 TEST(GoldenJobWire, AnInvalidFieldIsNamedAsUsersKnowIt) {
-  std::string id;
-  JobSpec job;
-  EXPECT_EQ(ParseJob("no", &id, &job), "not JSON");
-  EXPECT_EQ(ParseJob("[]", &id, &job), "not an object");
-  EXPECT_EQ(ParseJob("{}", &id, &job), "missing or invalid: name_id");
-  EXPECT_EQ(ParseJob(MinimalWith("rango", "normal", "first"), &id, &job),
-            "missing or invalid: rango");
-  EXPECT_EQ(ParseJob(MinimalWith("forma", "sweep", "array"), &id, &job),
-            "missing or invalid: forma");
-  EXPECT_EQ(id, "job-1");
+  EXPECT_EQ(ReasonOf("no"), "not JSON");
+  EXPECT_EQ(ReasonOf("[]"), "not an object");
+  EXPECT_EQ(ReasonOf("{}"), "missing or invalid: name_id");
+  EXPECT_EQ(ReasonOf(MinimalWith("rango", "normal", "first")), "missing or invalid: rango");
+  const std::string unknown_kind = MinimalWith("forma", "sweep", "array");
+  EXPECT_EQ(ReasonOf(unknown_kind), "missing or invalid: forma");
+  EXPECT_EQ(ParseJob(unknown_kind).job_id, "job-1");
 }
 
 TEST(GoldenJobWire, OnlyIdsOfTheKnownFormAreValid) {
--- a/tests/wire_test.cc
+++ b/tests/wire_test.cc
@@ -94,18 +94,19 @@
 "rumbo_s":240.0,"bitacora_s":30.0,"estiba_s":4.0,"arribo_s":900.0,"other":{"x":1}})";
 
 TEST(JobCodec, ReadsAndWritesAJob) {
-  JobSpec job;
-  std::string id;
-  ASSERT_EQ(ParseJob(kJob, &id, &job), "");
-  EXPECT_EQ(id, "job-000412");
+  const JobSubmission submission = ParseJob(kJob);
+  ASSERT_TRUE(submission.spec.has_value()) << DescribeError(submission.spec.error());
+  EXPECT_EQ(submission.job_id, "job-000412");
+  const JobSpec& job = submission.spec.value();
   EXPECT_EQ(job.task_count, 16U);
   EXPECT_EQ(job.priority, Priority::kUrgent);
   EXPECT_TRUE(job.zone.empty());
   rapidjson::StringBuffer buffer;
   JsonWriter w(buffer);
   WriteJob(w, job);
-  JobSpec again;
-  ASSERT_EQ(ParseJob(buffer.GetString(), &id, &again), "");
+  const JobSubmission written = ParseJob(buffer.GetString());
+  ASSERT_TRUE(written.spec.has_value()) << DescribeError(written.spec.error());
+  const JobSpec& again = written.spec.value();
   EXPECT_EQ(again.allowed_types, job.allowed_types);
   EXPECT_EQ(again.deadline_s, job.deadline_s);
   EXPECT_EQ(again.checkpoint_interval_s, 30);
@@ -133,17 +134,17 @@
   for (const auto& [from, to] : swaps) {
     std::string text = kJob;
     text.replace(text.find(from), std::string(from).size(), to);
-    JobSpec job;
-    std::string id;
-    EXPECT_NE(ParseJob(text, &id, &job), "") << to;
+    const JobSubmission submission = ParseJob(text);
+    ASSERT_FALSE(submission.spec.has_value()) << to;
+    EXPECT_NE(DescribeError(submission.spec.error()), "") << to;
   }
   for (const std::string& text :
        {std::string(""), std::string("[]"), std::string("{"), std::string("\xff\xfe"),
         std::string(60000, '['), std::string("null")}) {
-    JobSpec job;
-    std::string id;
-    EXPECT_NE(ParseJob(text, &id, &job), "");
-    EXPECT_EQ(id, "");
+    const JobSubmission submission = ParseJob(text);
+    ASSERT_FALSE(submission.spec.has_value());
+    EXPECT_NE(DescribeError(submission.spec.error()), "");
+    EXPECT_EQ(submission.job_id, "");
   }
 }
 
@@ -172,7 +173,9 @@
   JobRequest ask;
   ask.operation = JobOperation::kSubmit;
   ask.job_id = "job-000412";
-  ASSERT_EQ(ParseJob(kJob, &ask.job_id, &ask.job), "");
+  const JobSubmission submission = ParseJob(kJob);
+  ASSERT_TRUE(submission.spec.has_value()) << DescribeError(submission.spec.error());
+  ask.job = submission.spec.value();
   frame.body = ask;
   std::string bytes;
   EncodeFrame(frame, &bytes);
