--- a/src/api/http_api.cc
+++ b/src/api/http_api.cc
@@ -125,13 +125,13 @@
 }
 
 void HttpApi::HandleHeartbeat(const HttpMessage& request, const HttpServer::Reply& reply) {
-  Heartbeat heartbeat;
-  if (!DecodeHeartbeat(request.body, &heartbeat)) {
+  std::optional<Heartbeat> heartbeat = DecodeHeartbeat(request.body);
+  if (!heartbeat) {
     spdlog::warn("a report is malformed");
     reply(Error(400, "malformed report"));
     return;
   }
-  backend_.handle_heartbeat(std::move(heartbeat), [reply](const HeartbeatResponse& response) {
+  backend_.handle_heartbeat(std::move(*heartbeat), [reply](const HeartbeatResponse& response) {
     HttpAnswer a;
     a.status = response.status;
     a.body = EncodeHeartbeatResponse(response);
--- a/src/fleet/http_worker_client.cc
+++ b/src/fleet/http_worker_client.cc
@@ -2,6 +2,9 @@
 
 #include <spdlog/spdlog.h>
 
+#include <optional>
+#include <utility>
+
 #include "wire/worker_codec.h"
 
 namespace deckhall {
@@ -16,8 +19,13 @@
     WorkerResponse response;
     response.sent = result.sent;
     if (result.status == 200 || result.status == 409) {
-      response.has_heartbeat = DecodeHeartbeat(result.body, &response.heartbeat);
-      if (!response.has_heartbeat) spdlog::warn("worker at {} answers no report", endpoint);
+      std::optional<Heartbeat> heartbeat = DecodeHeartbeat(result.body);
+      response.has_heartbeat = heartbeat.has_value();
+      if (heartbeat) {
+        response.heartbeat = std::move(*heartbeat);
+      } else {
+        spdlog::warn("worker at {} answers no report", endpoint);
+      }
     }
     if (response.has_heartbeat) response.status = result.status;
     done(std::move(response));
--- a/src/wire/worker_codec.cc
+++ b/src/wire/worker_codec.cc
@@ -1,76 +1,125 @@
+// Messages of workers.
+//
+//   wire word    term
+//   cubierta     machine name
+//   casco        machine type
+//   muelle       zone
+//   prestados    spot
+//   guardia      agent epoch
+//   correlativo  sequence number
+//   mando        fencing token
+//   aviso_s      preemption notice
+//   faenas       tasks; faena: the name of one
+//   intento      attempt
+//   estado       task state
+//   motivo       exit reason
+//   saved        checkpointed
+//   ordenes      commands
+//   maniobra     operation of a command
+//   tregua_s     grace period
+//   capitan      the controller to report to
 #include "wire/worker_codec.h"
 
+#include <utility>
+
+#include "wire/enum_words.h"
 #include "wire/json.h"
 
 namespace deckhall {
 namespace {
 
-// Both directions use the same words.
-struct DrainStateName {
-  TaskState state;
-  const char* word;
-};
-constexpr DrainStateName kStateWords[] = {{TaskState::kFetching, "pulling"},
-                                          {TaskState::kRunning, "running"},
-                                          {TaskState::kCheckpointing, "flushing"},
-                                          {TaskState::kWaitingForGang, "gathering"},
-                                          {TaskState::kExited, "ended"}};
-struct ExitWord {
-  ExitReason reason;
-  const char* word;
-};
-constexpr ExitWord kExitWords[] = {{ExitReason::kDone, "done"},
-                                   {ExitReason::kStopped, "stopped"},
-                                   {ExitReason::kError, "error"},
-                                   {ExitReason::kNoRoom, "no_room"},
-                                   {ExitReason::kInUse, "in_use"},
-                                   {ExitReason::kUnknown, "unknown"},
-                                   {ExitReason::kGangMemberLost, "peers"},
-                                   {ExitReason::kGangIncomplete, "incomplete"}};
-struct OpWord {
-  CommandOp operation;
-  const char* word;
-};
-constexpr OpWord kOpWords[] = {{CommandOp::kStart, "launch"},
-                               {CommandOp::kStop, "stop"},
-                               {CommandOp::kAcknowledgeExit, "clear"}};
-
-bool ReadTaskState(const std::string& word, TaskState* out) {
-  for (const DrainStateName& known : kStateWords) {
-    if (word != known.word) continue;
-    *out = known.state;
-    return true;
-  }
-  return false;
-}
+constexpr size_t kMaxMachineNameBytes = 100;
+
+constexpr EnumWord<TaskState> kTaskStateWords[] = {{TaskState::kFetching, "pulling"},
+                                                   {TaskState::kRunning, "running"},
+                                                   {TaskState::kCheckpointing, "flushing"},
+                                                   {TaskState::kWaitingForGang, "gathering"},
+                                                   {TaskState::kExited, "ended"}};
+constexpr EnumWord<ExitReason> kExitReasonWords[] = {{ExitReason::kDone, "done"},
+                                                     {ExitReason::kStopped, "stopped"},
+                                                     {ExitReason::kError, "error"},
+                                                     {ExitReason::kNoRoom, "no_room"},
+                                                     {ExitReason::kInUse, "in_use"},
+                                                     {ExitReason::kUnknown, "unknown"},
+                                                     {ExitReason::kGangMemberLost, "peers"},
+                                                     {ExitReason::kGangIncomplete, "incomplete"}};
+constexpr EnumWord<CommandOp> kCommandWords[] = {{CommandOp::kStart, "launch"},
+                                                 {CommandOp::kStop, "stop"},
+                                                 {CommandOp::kAcknowledgeExit, "clear"}};
 
 // A reason we do not know is treated like a failure: the task is not done.
-ExitReason ReadExitReason(const std::string& word) {
-  for (const ExitWord& known : kExitWords) {
-    if (word == known.word) return known.reason;
+ExitReason ReadExitReason(const JsonValue& row) {
+  std::string word;
+  JsonString(row, "motivo", &word);
+  return EnumOf(kExitReasonWords, word).value_or(ExitReason::kError);
+}
+
+std::optional<TaskStatus> ReadTaskStatus(const JsonValue& row) {
+  TaskStatus status;
+  std::string word;
+  if (!JsonString(row, "faena", &status.task_name) || !JsonU64(row, "intento", &status.attempt) ||
+      !JsonString(row, "estado", &word)) {
+    return std::nullopt;
   }
-  return ExitReason::kError;
+  const std::optional<TaskState> state = EnumOf(kTaskStateWords, word);
+  if (!state) return std::nullopt;
+  status.state = *state;
+  if (status.state == TaskState::kExited) {
+    status.exit_reason = ReadExitReason(row);
+    JsonBool(row, "saved", &status.checkpointed);
+  }
+  return status;
 }
 
-const char* WordOf(TaskState state) {
-  for (const DrainStateName& known : kStateWords) {
-    if (state == known.state) return known.word;
+// What a heartbeat says of the machine itself.
+bool ReadMachine(const JsonValue& document, Heartbeat* heartbeat) {
+  if (!JsonString(document, "cubierta", &heartbeat->machine) || heartbeat->machine.empty() ||
+      heartbeat->machine.size() > kMaxMachineNameBytes) {
+    return false;
+  }
+  if (!JsonString(document, "endpoint", &heartbeat->endpoint) ||
+      !JsonString(document, "casco", &heartbeat->type) ||
+      !JsonString(document, "muelle", &heartbeat->zone)) {
+    return false;
   }
-  return "";
+  JsonBool(document, "prestados", &heartbeat->spot);
+  if (!JsonU64(document, "guardia", &heartbeat->agent_epoch) ||
+      !JsonU64(document, "correlativo", &heartbeat->sequence)) {
+    return false;
+  }
+  JsonU64(document, "mando", &heartbeat->fencing_token);
+  double notice_s = 0;
+  if (JsonNumber(document, "aviso_s", &notice_s)) heartbeat->preemption_notice_s = notice_s;
+  return true;
 }
 
-const char* WordOf(ExitReason why) {
-  for (const ExitWord& known : kExitWords) {
-    if (why == known.reason) return known.word;
+void WriteTaskStatus(JsonWriter& writer, const TaskStatus& status) {
+  writer.StartObject();
+  PutString(writer, "faena", status.task_name);
+  writer.Key("intento");
+  writer.Uint64(status.attempt);
+  PutString(writer, "estado", WordOf(kTaskStateWords, status.state));
+  if (status.state == TaskState::kExited) {
+    PutString(writer, "motivo", WordOf(kExitReasonWords, status.exit_reason, "error"));
+    writer.Key("saved");
+    writer.Bool(status.checkpointed);
   }
-  return "error";
+  writer.EndObject();
 }
 
-const char* WordOf(CommandOp op) {
-  for (const OpWord& known : kOpWords) {
-    if (op == known.operation) return known.word;
+enum class CommandReading { kRead, kUnknownOperation, kMalformed };
+
+CommandReading ReadCommand(const JsonValue& row, Command* command) {
+  std::string word;
+  if (!JsonString(row, "maniobra", &word) || !JsonString(row, "faena", &command->task_name) ||
+      !JsonU64(row, "intento", &command->attempt)) {
+    return CommandReading::kMalformed;
   }
-  return "";
+  const std::optional<CommandOp> operation = EnumOf(kCommandWords, word);
+  if (!operation) return CommandReading::kUnknownOperation;
+  command->operation = *operation;
+  JsonNumber(row, "tregua_s", &command->grace_period_s);
+  return CommandReading::kRead;
 }
 
 void WriteCommands(JsonWriter& writer, const std::vector<Command>& commands) {
@@ -78,7 +127,7 @@
   writer.StartArray();
   for (const Command& command : commands) {
     writer.StartObject();
-    PutString(writer, "maniobra", WordOf(command.operation));
+    PutString(writer, "maniobra", WordOf(kCommandWords, command.operation));
     PutString(writer, "faena", command.task_name);
     writer.Key("intento");
     writer.Uint64(command.attempt);
@@ -93,43 +142,20 @@
 
 }  // namespace
 
-bool DecodeHeartbeat(std::string_view body, Heartbeat* heartbeat) {
-  rapidjson::Document doc;
-  if (!ParseJson(body, &doc) || !doc.IsObject()) return false;
-  if (!JsonString(doc, "cubierta", &heartbeat->machine) || heartbeat->machine.empty() ||
-      heartbeat->machine.size() > 100) {
-    return false;
-  }
-  if (!JsonString(doc, "endpoint", &heartbeat->endpoint) ||
-      !JsonString(doc, "casco", &heartbeat->type) || !JsonString(doc, "muelle", &heartbeat->zone)) {
-    return false;
-  }
-  JsonBool(doc, "prestados", &heartbeat->spot);
-  if (!JsonU64(doc, "guardia", &heartbeat->agent_epoch) ||
-      !JsonU64(doc, "correlativo", &heartbeat->sequence))
-    return false;
-  JsonU64(doc, "mando", &heartbeat->fencing_token);
-  double notice = 0;
-  if (JsonNumber(doc, "aviso_s", &notice)) heartbeat->preemption_notice_s = notice;
-  const JsonValue* tasks = JsonMember(doc, "faenas");
-  if (tasks == nullptr) return true;
-  if (!tasks->IsArray()) return false;
-  for (const auto& t : tasks->GetArray()) {
-    TaskStatus status;
-    std::string word;
-    if (!JsonString(t, "faena", &status.task_name) || !JsonU64(t, "intento", &status.attempt) ||
-        !JsonString(t, "estado", &word) || !ReadTaskState(word, &status.state)) {
-      return false;
-    }
-    if (status.state == TaskState::kExited) {
-      word.clear();
-      JsonString(t, "motivo", &word);
-      status.exit_reason = ReadExitReason(word);
-      JsonBool(t, "saved", &status.checkpointed);
-    }
-    heartbeat->tasks.push_back(std::move(status));
+std::optional<Heartbeat> DecodeHeartbeat(std::string_view body) {
+  rapidjson::Document document;
+  if (!ParseJson(body, &document) || !document.IsObject()) return std::nullopt;
+  Heartbeat heartbeat;
+  if (!ReadMachine(document, &heartbeat)) return std::nullopt;
+  const JsonValue* rows = JsonMember(document, "faenas");
+  if (rows == nullptr) return heartbeat;
+  if (!rows->IsArray()) return std::nullopt;
+  for (const auto& row : rows->GetArray()) {
+    std::optional<TaskStatus> status = ReadTaskStatus(row);
+    if (!status) return std::nullopt;
+    heartbeat.tasks.push_back(std::move(*status));
   }
-  return true;
+  return heartbeat;
 }
 
 std::string EncodeHeartbeat(const Heartbeat& heartbeat) {
@@ -154,50 +180,29 @@
   }
   writer.Key("faenas");
   writer.StartArray();
-  for (const TaskStatus& status : heartbeat.tasks) {
-    writer.StartObject();
-    PutString(writer, "faena", status.task_name);
-    writer.Key("intento");
-    writer.Uint64(status.attempt);
-    PutString(writer, "estado", WordOf(status.state));
-    if (status.state == TaskState::kExited) {
-      PutString(writer, "motivo", WordOf(status.exit_reason));
-      writer.Key("saved");
-      writer.Bool(status.checkpointed);
-    }
-    writer.EndObject();
-  }
+  for (const TaskStatus& status : heartbeat.tasks) WriteTaskStatus(writer, status);
   writer.EndArray();
   writer.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-bool DecodeCommands(std::string_view body, WorkerCommands* orders) {
-  rapidjson::Document doc;
-  if (!ParseJson(body, &doc) || !JsonU64(doc, "mando", &orders->fencing_token)) return false;
-  JsonU64(doc, "guardia", &orders->agent_epoch);
-  const JsonValue* rows = JsonMember(doc, "ordenes");
-  if (rows == nullptr) return true;
-  if (!rows->IsArray()) return false;
+std::optional<WorkerCommands> DecodeCommands(std::string_view body) {
+  rapidjson::Document document;
+  WorkerCommands commands;
+  if (!ParseJson(body, &document) || !JsonU64(document, "mando", &commands.fencing_token)) {
+    return std::nullopt;
+  }
+  JsonU64(document, "guardia", &commands.agent_epoch);
+  const JsonValue* rows = JsonMember(document, "ordenes");
+  if (rows == nullptr) return commands;
+  if (!rows->IsArray()) return std::nullopt;
   for (const auto& row : rows->GetArray()) {
     Command command;
-    std::string word;
-    if (!JsonString(row, "maniobra", &word) || !JsonString(row, "faena", &command.task_name) ||
-        !JsonU64(row, "intento", &command.attempt)) {
-      return false;
-    }
-    bool known = false;
-    for (const OpWord& op : kOpWords) {
-      if (word != op.word) continue;
-      command.operation = op.operation;
-      known = true;
-    }
-    // What a worker does not know it leaves out.
-    if (!known) continue;
-    JsonNumber(row, "tregua_s", &command.grace_period_s);
-    orders->commands.push_back(std::move(command));
+    const CommandReading reading = ReadCommand(row, &command);
+    if (reading == CommandReading::kMalformed) return std::nullopt;
+    if (reading == CommandReading::kRead) commands.commands.push_back(std::move(command));
   }
-  return true;
+  return commands;
 }
 
 std::string EncodeHeartbeatResponse(const HeartbeatResponse& response) {
@@ -217,14 +222,15 @@
   return buffer.GetString();
 }
 
-std::string EncodeCommands(uint64_t token, uint64_t session, const std::vector<Command>& commands) {
+std::string EncodeCommands(uint64_t fencing_token, uint64_t agent_epoch,
+                           const std::vector<Command>& commands) {
   rapidjson::StringBuffer buffer;
   JsonWriter writer(buffer);
   writer.StartObject();
   writer.Key("mando");
-  writer.Uint64(token);
+  writer.Uint64(fencing_token);
   writer.Key("guardia");
-  writer.Uint64(session);
+  writer.Uint64(agent_epoch);
   WriteCommands(writer, commands);
   writer.EndObject();
   return buffer.GetString();
--- a/tests/golden_wire_test.cc
+++ b/tests/golden_wire_test.cc
@@ -191,16 +191,16 @@
 }
 
 TEST(GoldenWorkerWire, AFullReportIsReadIntoEveryField) {
-  Heartbeat report;
-  ASSERT_TRUE(DecodeHeartbeat(kFullReport, &report));
-  ExpectSameReport(report, FullReport());
+  const auto report = DecodeHeartbeat(kFullReport);
+  ASSERT_TRUE(report.has_value());
+  ExpectSameReport(*report, FullReport());
 }
 
 TEST(GoldenWorkerWire, AReportWithoutWhatMayBeLeftOutIsReadWithDefaults) {
-  Heartbeat report;
-  ASSERT_TRUE(DecodeHeartbeat(R"({"cubierta":"m-1","endpoint":"a:1","casco":"box","muelle":"west",)"
-                              R"("guardia":1,"correlativo":2})",
-                              &report));
+  const auto report =
+      DecodeHeartbeat(R"({"cubierta":"m-1","endpoint":"a:1","casco":"box","muelle":"west",)"
+                      R"("guardia":1,"correlativo":2})");
+  ASSERT_TRUE(report.has_value());
   Heartbeat expected;
   expected.machine = "m-1";
   expected.endpoint = "a:1";
@@ -208,19 +208,18 @@
   expected.zone = "west";
   expected.agent_epoch = 1;
   expected.sequence = 2;
-  ExpectSameReport(report, expected);
+  ExpectSameReport(*report, expected);
 }
 
 TEST(GoldenWorkerWire, AnUnknownReasonIsReadAsErrorAndAnUnknownStateIsRefused) {
   const std::string head =
       R"({"cubierta":"m-1","endpoint":"a:1","casco":"box","muelle":"west","guardia":1,)"
       R"("correlativo":2,"faenas":[{"faena":"job-1/0","intento":1,"estado":)";
-  Heartbeat report;
-  ASSERT_TRUE(DecodeHeartbeat(head + R"("ended","motivo":"tired"}]})", &report));
-  ASSERT_EQ(report.tasks.size(), 1U);
-  EXPECT_EQ(report.tasks[0].exit_reason, ExitReason::kError);
-  Heartbeat refused;
-  EXPECT_FALSE(DecodeHeartbeat(head + R"("exited"}]})", &refused));
+  const auto report = DecodeHeartbeat(head + R"("ended","motivo":"tired"}]})");
+  ASSERT_TRUE(report.has_value());
+  ASSERT_EQ(report->tasks.size(), 1U);
+  EXPECT_EQ(report->tasks[0].exit_reason, ExitReason::kError);
+  EXPECT_FALSE(DecodeHeartbeat(head + R"("exited"}]})").has_value());
 }
 
 TEST(GoldenWorkerWire, AnswersToReportsAreEncodedAsEver) {
@@ -244,17 +243,17 @@
 }
 
 TEST(GoldenWorkerWire, OrdersAreReadIntoEveryField) {
-  WorkerCommands orders;
-  ASSERT_TRUE(DecodeCommands(std::string(R"({"mando":1690000000000,"guardia":3,)") + kEveryCommand,
-                             &orders));
-  EXPECT_EQ(orders.fencing_token, 1690000000000U);
-  EXPECT_EQ(orders.agent_epoch, 3U);
-  ExpectSameCommands(orders.commands, EveryCommand());
-  WorkerCommands minimal;
-  ASSERT_TRUE(DecodeCommands(R"({"mando":7})", &minimal));
-  EXPECT_EQ(minimal.fencing_token, 7U);
-  EXPECT_EQ(minimal.agent_epoch, 0U);
-  EXPECT_TRUE(minimal.commands.empty());
+  const auto orders =
+      DecodeCommands(std::string(R"({"mando":1690000000000,"guardia":3,)") + kEveryCommand);
+  ASSERT_TRUE(orders.has_value());
+  EXPECT_EQ(orders->fencing_token, 1690000000000U);
+  EXPECT_EQ(orders->agent_epoch, 3U);
+  ExpectSameCommands(orders->commands, EveryCommand());
+  const auto minimal = DecodeCommands(R"({"mando":7})");
+  ASSERT_TRUE(minimal.has_value());
+  EXPECT_EQ(minimal->fencing_token, 7U);
+  EXPECT_EQ(minimal->agent_epoch, 0U);
+  EXPECT_TRUE(minimal->commands.empty());
 }
 
 TEST(GoldenJobWire, AFullJobIsEncodedAsEver) { EXPECT_EQ(Written(FullJob()), kFullJob); }
--- a/tests/loopback_fleet.cc
+++ b/tests/loopback_fleet.cc
@@ -182,14 +182,14 @@
     reply(Answer(200, worker->Reported()));
     return;
   }
-  WorkerCommands orders;
-  if (!DecodeCommands(request.body, &orders)) {
+  const std::optional<WorkerCommands> orders = DecodeCommands(request.body);
+  if (!orders) {
     reply(Answer(400, "{}"));
     return;
   }
-  const bool entitled = orders.fencing_token >= worker->report.fencing_token &&
-                        orders.agent_epoch == worker->report.agent_epoch;
-  if (entitled) Execute(worker, orders);
+  const bool entitled = orders->fencing_token >= worker->report.fencing_token &&
+                        orders->agent_epoch == worker->report.agent_epoch;
+  if (entitled) Execute(worker, *orders);
   reply(Answer(entitled ? 200 : 409, worker->Reported()));
 }
 
@@ -262,16 +262,17 @@
 }
 
 void LoopbackFleet::Answered(Worker* worker, double sent, const HttpResult& result) {
-  WorkerCommands orders;
-  if (result.status != 200 || !DecodeCommands(result.body, &orders)) {
+  const std::optional<WorkerCommands> orders =
+      result.status == 200 ? DecodeCommands(result.body) : std::nullopt;
+  if (!orders) {
     worker->controller = (worker->controller + 1) % controllers_.size();
     worker->next_report = SteadySeconds() + 1;
     return;
   }
   worker->next_report = SteadySeconds() + options_.report_s;
-  if (orders.fencing_token < worker->report.fencing_token) return;
+  if (orders->fencing_token < worker->report.fencing_token) return;
   worker->lease_from = sent;
-  Execute(worker, orders);
+  Execute(worker, *orders);
 }
 
 void LoopbackFleet::EndSession(Worker* worker) {
--- a/tests/wire_test.cc
+++ b/tests/wire_test.cc
@@ -153,16 +153,15 @@
       R"({"cubierta":"m-1","endpoint":"10.1.0.2:9000","casco":"g8","muelle":"a","prestados":true,
 "guardia":1,"correlativo":88,"mando":18446744073709551615,"aviso_s":null,
 "faenas":[{"faena":"job-1/3","intento":2,"estado":"ended","motivo":"done"}]})";
-  Heartbeat r;
-  ASSERT_TRUE(DecodeHeartbeat(text, &r));
-  EXPECT_EQ(r.fencing_token, UINT64_MAX);
-  EXPECT_EQ(r.tasks[0].exit_reason, ExitReason::kDone);
+  const auto r = DecodeHeartbeat(text);
+  ASSERT_TRUE(r.has_value());
+  EXPECT_EQ(r->fencing_token, UINT64_MAX);
+  EXPECT_EQ(r->tasks[0].exit_reason, ExitReason::kDone);
   for (const auto& [from, to] : std::vector<std::pair<std::string, std::string>>{
            {"\"m-1\"", "1"}, {"88", "-88"}, {"\"ended\"", "\"sleeping\""}, {"[{", "{"}}) {
     std::string bad = text;
     bad.replace(bad.find(from), from.size(), to);
-    Heartbeat out;
-    EXPECT_FALSE(DecodeHeartbeat(bad, &out)) << to;
+    EXPECT_FALSE(DecodeHeartbeat(bad).has_value()) << to;
   }
 }
 
@@ -205,21 +204,19 @@
   report.preemption_notice_s = 5;
   report.tasks = {{"job-1/0", 6, TaskState::kWaitingForGang, ExitReason::kNone, false},
                   {"job-1/1", 7, TaskState::kExited, ExitReason::kGangIncomplete, true}};
-  Heartbeat back;
-  ASSERT_TRUE(DecodeHeartbeat(EncodeHeartbeat(report), &back));
-  EXPECT_EQ(EncodeHeartbeat(back), EncodeHeartbeat(report));
-  EXPECT_EQ(back.tasks[1].exit_reason, ExitReason::kGangIncomplete);
-  WorkerCommands orders;
-  ASSERT_TRUE(DecodeCommands(
-      EncodeCommands(
-          8, 9, {{CommandOp::kStop, "job-1/0", 6, 2.5}, {CommandOp::kAcknowledgeExit, "j/1", 7}}),
-      &orders));
-  EXPECT_EQ(orders.fencing_token, 8U);
-  EXPECT_EQ(orders.agent_epoch, 9U);
-  ASSERT_EQ(orders.commands.size(), 2U);
-  EXPECT_EQ(orders.commands[0].grace_period_s, 2.5);
-  EXPECT_EQ(orders.commands[1].operation, CommandOp::kAcknowledgeExit);
-  EXPECT_FALSE(DecodeCommands("{}", &orders));
+  const auto back = DecodeHeartbeat(EncodeHeartbeat(report));
+  ASSERT_TRUE(back.has_value());
+  EXPECT_EQ(EncodeHeartbeat(*back), EncodeHeartbeat(report));
+  EXPECT_EQ(back->tasks[1].exit_reason, ExitReason::kGangIncomplete);
+  const auto orders = DecodeCommands(EncodeCommands(
+      8, 9, {{CommandOp::kStop, "job-1/0", 6, 2.5}, {CommandOp::kAcknowledgeExit, "j/1", 7}}));
+  ASSERT_TRUE(orders.has_value());
+  EXPECT_EQ(orders->fencing_token, 8U);
+  EXPECT_EQ(orders->agent_epoch, 9U);
+  ASSERT_EQ(orders->commands.size(), 2U);
+  EXPECT_EQ(orders->commands[0].grace_period_s, 2.5);
+  EXPECT_EQ(orders->commands[1].operation, CommandOp::kAcknowledgeExit);
+  EXPECT_FALSE(DecodeCommands("{}").has_value());
 }
 
 }  // namespace
