--- a/src/api/http_api.cc
+++ b/src/api/http_api.cc
@@ -95,9 +95,15 @@
 }
 
 void HttpApi::HandleSubmission(const HttpMessage& request, const HttpServer::Reply& reply) {
+  JobSubmission parsed = ParseJob(request.body);
   JobRequest submission;
   submission.operation = JobOperation::kSubmit;
-  submission.validation_error = ParseJob(request.body, &submission.job_id, &submission.job);
+  submission.job_id = std::move(parsed.job_id);
+  if (parsed.spec.has_value()) {
+    submission.job = std::move(parsed.spec.value());
+  } else {
+    submission.validation_error = DescribeError(parsed.spec.error());
+  }
   // An invalid submission with a usable id goes on: the job may be known already.
   if (submission.job_id.empty()) {
     reply(ErrorResponse(http_status::kBadRequest, submission.validation_error));
@@ -138,8 +144,8 @@
 }
 
 void HttpApi::HandleHeartbeat(const HttpMessage& request, const HttpServer::Reply& reply) {
-  Heartbeat heartbeat;
-  if (!DecodeHeartbeat(request.body, &heartbeat)) {
+  std::optional<Heartbeat> heartbeat = DecodeHeartbeat(request.body);
+  if (!heartbeat) {
     spdlog::warn("malformed heartbeat refused");
     reply(ErrorResponse(ApiError::kMalformedHeartbeat));
     return;
@@ -150,7 +156,7 @@
     response.body = EncodeHeartbeatResponse(heartbeat_response);
     reply(response);
   };
-  backend_.handle_heartbeat(std::move(heartbeat), std::move(respond));
+  backend_.handle_heartbeat(std::move(*heartbeat), std::move(respond));
 }
 
 }  // namespace deckhall
--- a/tests/golden_wire_test.cc
+++ b/tests/golden_wire_test.cc
@@ -191,16 +191,16 @@
 }
 
 TEST(GoldenWorkerWire, AFullReportIsReadIntoEveryField) {
-  Heartbeat report;
-  ASSERT_TRUE(DecodeHeartbeat(kFullReport, &report));
-  ExpectSameReport(report, FullReport());
+  const auto report = DecodeHeartbeat(kFullReport);
+  ASSERT_TRUE(report.has_value());
+  ExpectSameReport(*report, FullReport());
 }
 
 TEST(GoldenWorkerWire, AReportWithoutWhatMayBeLeftOutIsReadWithDefaults) {
-  Heartbeat report;
-  ASSERT_TRUE(DecodeHeartbeat(R"({"cubierta":"m-1","endpoint":"a:1","casco":"box","muelle":"west",)"
-                              R"("guardia":1,"correlativo":2})",
-                              &report));
+  const auto report =
+      DecodeHeartbeat(R"({"cubierta":"m-1","endpoint":"a:1","casco":"box","muelle":"west",)"
+                      R"("guardia":1,"correlativo":2})");
+  ASSERT_TRUE(report.has_value());
   Heartbeat expected;
   expected.machine = "m-1";
   expected.endpoint = "a:1";
@@ -208,19 +208,18 @@
   expected.zone = "west";
   expected.agent_epoch = 1;
   expected.sequence = 2;
-  ExpectSameReport(report, expected);
+  ExpectSameReport(*report, expected);
 }
 
 TEST(GoldenWorkerWire, AnUnknownReasonIsReadAsErrorAndAnUnknownStateIsRefused) {
   const std::string head =
       R"({"cubierta":"m-1","endpoint":"a:1","casco":"box","muelle":"west","guardia":1,)"
       R"("correlativo":2,"faenas":[{"faena":"job-1/0","intento":1,"estado":)";
-  Heartbeat report;
-  ASSERT_TRUE(DecodeHeartbeat(head + R"("ended","motivo":"tired"}]})", &report));
-  ASSERT_EQ(report.tasks.size(), 1U);
-  EXPECT_EQ(report.tasks[0].exit_reason, ExitReason::kError);
-  Heartbeat refused;
-  EXPECT_FALSE(DecodeHeartbeat(head + R"("exited"}]})", &refused));
+  const auto report = DecodeHeartbeat(head + R"("ended","motivo":"tired"}]})");
+  ASSERT_TRUE(report.has_value());
+  ASSERT_EQ(report->tasks.size(), 1U);
+  EXPECT_EQ(report->tasks[0].exit_reason, ExitReason::kError);
+  EXPECT_FALSE(DecodeHeartbeat(head + R"("exited"}]})").has_value());
 }
 
 TEST(GoldenWorkerWire, AnswersToReportsAreEncodedAsEver) {
@@ -244,17 +243,17 @@
 }
 
 TEST(GoldenWorkerWire, OrdersAreReadIntoEveryField) {
-  WorkerCommands orders;
-  ASSERT_TRUE(DecodeCommands(std::string(R"({"mando":1690000000000,"guardia":3,)") + kEveryCommand,
-                             &orders));
-  EXPECT_EQ(orders.fencing_token, 1690000000000U);
-  EXPECT_EQ(orders.agent_epoch, 3U);
-  ExpectSameCommands(orders.commands, EveryCommand());
-  WorkerCommands minimal;
-  ASSERT_TRUE(DecodeCommands(R"({"mando":7})", &minimal));
-  EXPECT_EQ(minimal.fencing_token, 7U);
-  EXPECT_EQ(minimal.agent_epoch, 0U);
-  EXPECT_TRUE(minimal.commands.empty());
+  const auto orders =
+      DecodeCommands(std::string(R"({"mando":1690000000000,"guardia":3,)") + kEveryCommand);
+  ASSERT_TRUE(orders.has_value());
+  EXPECT_EQ(orders->fencing_token, 1690000000000U);
+  EXPECT_EQ(orders->agent_epoch, 3U);
+  ExpectSameCommands(orders->commands, EveryCommand());
+  const auto minimal = DecodeCommands(R"({"mando":7})");
+  ASSERT_TRUE(minimal.has_value());
+  EXPECT_EQ(minimal->fencing_token, 7U);
+  EXPECT_EQ(minimal->agent_epoch, 0U);
+  EXPECT_TRUE(minimal->commands.empty());
 }
 
 TEST(GoldenJobWire, AFullJobIsEncodedAsEver) { EXPECT_EQ(Written(FullJob()), kFullJob); }
@@ -262,19 +261,18 @@
 TEST(GoldenJobWire, AMinimalJobIsEncodedAsEver) { EXPECT_EQ(Written(MinimalJob()), kMinimalJob); }
 
 TEST(GoldenJobWire, AFullJobIsReadIntoEveryField) {
-  std::string id;
-  JobSpec job;
-  ASSERT_EQ(ParseJob(kFullJob, &id, &job), "");
-  EXPECT_EQ(id, "job-000412");
-  ExpectSameJob(job, FullJob());
+  const JobSubmission submission = ParseJob(kFullJob);
+  ASSERT_TRUE(submission.spec.has_value()) << DescribeError(submission.spec.error());
+  EXPECT_EQ(submission.job_id, "job-000412");
+  ExpectSameJob(submission.spec.value(), FullJob());
 }
 
 TEST(GoldenJobWire, AMinimalJobIsReadWithDefaults) {
   rapidjson::Document document;
   ASSERT_TRUE(ParseJson(kMinimalJob, &document));
-  JobSpec job;
-  ASSERT_EQ(ReadJob(document, &job), "");
-  ExpectSameJob(job, MinimalJob());
+  const auto job = ReadJob(document);
+  ASSERT_TRUE(job.has_value()) << DescribeError(job.error());
+  ExpectSameJob(job.value(), MinimalJob());
 }
 
 // The minimal job with another word.
@@ -288,10 +286,9 @@
 
 void ExpectWrittenAndRead(const JobSpec& job, const std::string& text) {
   EXPECT_EQ(Written(job), text);
-  std::string id;
-  JobSpec read;
-  ASSERT_EQ(ParseJob(text, &id, &read), "") << text;
-  ExpectSameJob(read, job);
+  const JobSubmission submission = ParseJob(text);
+  ASSERT_TRUE(submission.spec.has_value()) << text;
+  ExpectSameJob(submission.spec.value(), job);
 }
 
 TEST(GoldenJobWire, EveryPriorityHasItsWord) {
@@ -316,17 +313,20 @@
   ExpectWrittenAndRead(gang, MinimalWith("forma", "sweep", "ensemble"));
 }
 
+// Why a submission is refused, in words; empty when it is not.
+std::string ReasonOf(const std::string& body) {
+  const JobSubmission submission = ParseJob(body);
+  return submission.spec.has_value() ? "" : DescribeError(submission.spec.error());
+}
+
 TEST(GoldenJobWire, AnInvalidFieldIsNamedAsUsersKnowIt) {
-  std::string id;
-  JobSpec job;
-  EXPECT_EQ(ParseJob("no", &id, &job), "not JSON");
-  EXPECT_EQ(ParseJob("[]", &id, &job), "not an object");
-  EXPECT_EQ(ParseJob("{}", &id, &job), "missing or invalid: name_id");
-  EXPECT_EQ(ParseJob(MinimalWith("rango", "normal", "first"), &id, &job),
-            "missing or invalid: rango");
-  EXPECT_EQ(ParseJob(MinimalWith("forma", "sweep", "array"), &id, &job),
-            "missing or invalid: forma");
-  EXPECT_EQ(id, "job-1");
+  EXPECT_EQ(ReasonOf("no"), "not JSON");
+  EXPECT_EQ(ReasonOf("[]"), "not an object");
+  EXPECT_EQ(ReasonOf("{}"), "missing or invalid: name_id");
+  EXPECT_EQ(ReasonOf(MinimalWith("rango", "normal", "first")), "missing or invalid: rango");
+  const std::string unknown_kind = MinimalWith("forma", "sweep", "array");
+  EXPECT_EQ(ReasonOf(unknown_kind), "missing or invalid: forma");
+  EXPECT_EQ(ParseJob(unknown_kind).job_id, "job-1");
 }
 
 TEST(GoldenJobWire, OnlyIdsOfTheKnownFormAreValid) {
