--- a/src/fleet/attempt_reconciler.cc
+++ b/src/fleet/attempt_reconciler.cc
@@ -21,7 +21,8 @@
   return nullptr;
 }
 
-// Whether the agent has fetched the image of the task.
+// Whether the image of the task is taken to be cached. This includes, wrongly, a task that was
+// stopped while its image was fetched (see the ROADMAP).
 bool HasFetchedImage(const TaskStatus& status) {
   return status.state != TaskState::kFetching && status.exit_reason != ExitReason::kNoRoom &&
          status.exit_reason != ExitReason::kInUse && status.exit_reason != ExitReason::kUnknown;
@@ -50,7 +51,7 @@
 
 void AttemptReconciler::Reconcile(MachineIndex machine_index, const Heartbeat& heartbeat) {
   Machine& machine = (*machines_)[machine_index];
-  // Attempts adopted on the way are added behind those tracked so far.
+  // Adopted attempts are appended, so the positions of those tracked so far stay valid.
   const size_t tracked = machine.attempts.size();
   std::vector<char> listed(tracked, 0);
   for (const TaskStatus& status : heartbeat.tasks) {
