--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "common/result.h"
-#include "mesh/mesh.h"
-#include "model/model.h"
+#include "config/peer.h"
+#include "model/team.h"
 #include "net/tcp.h"
 
 namespace deckhall {
--- a/src/fleet/fleet.cc
+++ b/src/fleet/fleet.cc
@@ -28,15 +28,11 @@
   spdlog::info("machine={}: removed: {}", machine.name, reason);
 }
 
-bool Fleet::PopChanged(MachineIndex* machine_index) {
-  const std::optional<MachineIndex> changed = machines_.TakeChanged();
-  if (!changed) return false;
-  *machine_index = *changed;
-  return true;
-}
-
 bool Fleet::IsLeaseExpired(const Machine& machine, double now, double term_began_at) const {
-  return deckhall::IsLeaseExpired(machine, options_, {now, clock_->Wall(), term_began_at});
+  // The time of day is read only where it counts: this runs for each machine, several times a
+  // second.
+  const double wall = machine.unrenewed_since_wall < 0 ? 0 : clock_->Wall();
+  return deckhall::IsLeaseExpired(machine, options_, {now, wall, term_began_at});
 }
 
 }  // namespace deckhall
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -24,7 +24,8 @@
 #include "fleet/fleet_options.h"
 #include "fleet/heartbeat_applier.h"
 #include "fleet/machine_registry.h"
-#include "model/model.h"
+#include "model/job.h"
+#include "model/machine.h"
 #include "net/clock.h"
 #include "state/job_store.h"
 
@@ -52,8 +53,8 @@
   // Loses all attempts on the machine and removes it; `reason` is for the log. Does nothing if it
   // is removed already.
   void RemoveMachine(MachineIndex machine_index, const char* reason);
-  // Takes the next changed machine off the queue; false if there is none.
-  bool PopChanged(MachineIndex* machine_index);
+  // Takes the next changed machine off the queue; none: it is empty.
+  std::optional<MachineIndex> PopChanged() { return machines_.TakeChanged(); }
   void MarkChanged(MachineIndex machine_index) { machines_.MarkChanged(machine_index); }
   void InvalidateAllCapacity() { machines_.InvalidateAllCapacity(); }
   // Every attempt that can be on the machine is known from now on.
--- a/src/fleet/http_worker_client.cc
+++ b/src/fleet/http_worker_client.cc
@@ -32,10 +32,10 @@
   });
 }
 
-void HttpWorkerClient::SendCommands(const std::string& endpoint, uint64_t token, uint64_t session,
-                                    const std::vector<Command>& commands, double timeout_s,
-                                    Done done) {
-  Send(endpoint, {"POST", "/do", EncodeCommands(token, session, commands), timeout_s},
+void HttpWorkerClient::SendCommands(const std::string& endpoint, uint64_t fencing_token,
+                                    uint64_t agent_epoch, const std::vector<Command>& commands,
+                                    double timeout_s, Done done) {
+  Send(endpoint, {"POST", "/do", EncodeCommands(fencing_token, agent_epoch, commands), timeout_s},
        std::move(done));
 }
 
--- a/src/leader/command_dispatcher.cc
+++ b/src/leader/command_dispatcher.cc
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <cmath>
+#include <optional>
 
 #include "leader/leader_timing.h"
 
@@ -32,8 +33,11 @@
     : deps_(dependencies), budget_(CommandBudget(settings, tuning)) {}
 
 void CommandDispatcher::PushPendingCommands(double now) {
-  MachineIndex changed = 0;
-  while (budget_.Level(now) >= 1 && deps_.fleet->PopChanged(&changed)) PushCommands(changed);
+  while (budget_.Level(now) >= 1) {
+    const std::optional<MachineIndex> changed = deps_.fleet->PopChanged();
+    if (!changed) return;
+    PushCommands(*changed);
+  }
 }
 
 bool CommandDispatcher::MaySendNow(const Machine& machine) const {
--- a/src/mesh/peer_connections.h
+++ b/src/mesh/peer_connections.h
@@ -20,8 +20,8 @@
 #include <string_view>
 #include <vector>
 
+#include "config/peer.h"
 #include "mesh/frame_reader.h"
-#include "mesh/peer.h"
 #include "mesh/peer_network.h"
 #include "mesh/peer_transport.h"
 #include "net/clock.h"
--- a/src/mesh/peer_membership.h
+++ b/src/mesh/peer_membership.h
@@ -20,7 +20,7 @@
 #include <string>
 #include <vector>
 
-#include "mesh/peer.h"
+#include "config/peer.h"
 #include "mesh/peer_transport.h"
 #include "mesh/term_freshness.h"
 #include "net/clock.h"
--- a/src/mesh/peer_network.h
+++ b/src/mesh/peer_network.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "mesh/peer.h"
+#include "config/peer.h"
 #include "mesh/peer_membership.h"
 #include "mesh/peer_rpc.h"
 #include "mesh/peer_transport.h"
--- a/src/model/record_id.h
+++ b/src/model/record_id.h
@@ -1,8 +1,13 @@
 // The id by which a job or a machine names its durable record.
-//
-// `RecordId` and `kNoRecord` are still defined next to the record store, which hands the ids out
-// and guarantees that an id is not used again while its record exists. This header is the only
-// place in src/model that depends on src/state.
 #pragma once
 
-#include "state/record_store.h"
+#include <cstdint>
+
+namespace deckhall {
+
+// Names a record while this process holds it; it is not stored. RecordStore hands the ids out; the
+// id of a removed record is given to a later one.
+using RecordId = uint32_t;
+constexpr RecordId kNoRecord = UINT32_MAX;
+
+}  // namespace deckhall
--- a/src/state/job_record_codec.cc
+++ b/src/state/job_record_codec.cc
@@ -69,7 +69,9 @@
     if (!JsonString(document, "x", &record.job_id)) return std::nullopt;
     return record;
   }
-  if (!ReadJob(*spec, &record.spec).empty()) return std::nullopt;
+  Result<JobSpec, JobSpecError> read = ReadJob(*spec);
+  if (!read) return std::nullopt;
+  record.spec = std::move(read.value());
   record.has_spec = true;
   record.job_id = record.spec.id;
   JsonNumber(document, "t", &record.submitted_wall);
--- a/src/state/job_record_codec.h
+++ b/src/state/job_record_codec.h
@@ -19,7 +19,7 @@
 #include <variant>
 #include <vector>
 
-#include "model/model.h"
+#include "model/job.h"
 
 namespace deckhall {
 
--- a/src/state/job_store.h
+++ b/src/state/job_store.h
@@ -14,7 +14,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "model/model.h"
+#include "model/job.h"
 #include "state/job_record_codec.h"
 #include "state/record_store.h"
 
--- a/src/state/record_types.h
+++ b/src/state/record_types.h
@@ -8,12 +8,9 @@
 #include <cstdint>
 #include <string_view>
 
-namespace deckhall {
+#include "model/record_id.h"
 
-// Names a record while this process holds it; it is not stored. The identifier of a removed
-// record is given to a later one.
-using RecordId = uint32_t;
-constexpr RecordId kNoRecord = UINT32_MAX;
+namespace deckhall {
 
 // Names a page while this process holds it; it is not stored.
 using PageIndex = uint32_t;
--- a/src/wire/job_codec.cc
+++ b/src/wire/job_codec.cc
@@ -224,13 +224,6 @@
   return job;
 }
 
-std::string ReadJob(const JsonValue& object, JobSpec* job) {
-  auto result = ReadJob(object);
-  if (!result.has_value()) return DescribeError(result.error());
-  *job = std::move(result.value());
-  return "";
-}
-
 void WriteJob(JsonWriter& writer, const JobSpec& job) {
   writer.StartObject();
   PutString(writer, "name_id", job.id);
--- a/src/wire/job_codec.h
+++ b/src/wire/job_codec.h
@@ -40,8 +40,6 @@
 JobSubmission ParseJob(std::string_view body);
 // Reads a job from a parsed object. The first field that is wrong is named.
 Result<JobSpec, JobSpecError> ReadJob(const JsonValue& object);
-// The old form: the error in words, or an empty string and the job.
-std::string ReadJob(const JsonValue& object, JobSpec* job);
 // Writes the object that ReadJob reads.
 void WriteJob(JsonWriter& writer, const JobSpec& job);
 
