--- a/src/leader/failure_detector.cc
+++ b/src/leader/failure_detector.cc
@@ -25,7 +25,7 @@
 constexpr double kQuickDeathShare = 0.08;
 constexpr double kOneWayShare = 0.02;
 constexpr size_t kMinToleratedMachines = 2;
-constexpr int kMinSilentProbes = 2;
+constexpr int kMinFailedProbes = 2;
 constexpr int kMinOneWayProbes = 3;
 // A partitioned machine is returned after so many leases: its tasks end after the first, but the
 // machine may soon be reachable again with its cached images.
@@ -48,7 +48,7 @@
 FailureDetector::FailureDetector(Dependencies dependencies)
     : deps_(std::move(dependencies)), probe_budget_(ProbeBudget(*deps_.settings, *deps_.tuning)) {}
 
-double FailureDetector::SilentSeconds(const Machine& machine, double now) const {
+double FailureDetector::SecondsSinceContact(const Machine& machine, double now) const {
   return now - std::max(machine.last_heard_at, term_began_at_);
 }
 
@@ -67,7 +67,7 @@
     if (machine.scaling_in || !machine.up) continue;
     ++health.up;
     if (machine.active_attempts > 0) ++health.busy;
-    if (machine.probe_failures > 0) ++health.silent;
+    if (machine.probe_failures > 0) ++health.unresponsive;
     if (machine.unreachable_since >= 0 && machine.unreachable_count >= 2) ++health.one_way;
   }
   return health;
@@ -119,7 +119,7 @@
 
 bool FailureDetector::IsUrgent(const Machine& machine, double now) const {
   return machine.suspected || machine.unreachable_since >= 0 ||
-         SilentSeconds(machine, now) > HeartbeatOverdueSeconds(*deps_.settings);
+         SecondsSinceContact(machine, now) > HeartbeatOverdueSeconds(*deps_.settings);
 }
 
 bool FailureDetector::IsCheckDue(const Machine& machine, double now, bool urgent) const {
@@ -133,7 +133,7 @@
   const double interval_seconds = machine.active_attempts > 0
                                       ? limits_.probe_interval_s
                                       : std::max(deps_.tuning->silent_after_s, overdue_seconds);
-  return SilentSeconds(machine, now) >= std::min(interval_seconds, overdue_seconds);
+  return SecondsSinceContact(machine, now) >= std::min(interval_seconds, overdue_seconds);
 }
 
 bool FailureDetector::IsProtectedByPartition(const Machine& machine) const {
@@ -147,18 +147,18 @@
   return in_former_leader_zone || machine.unrenewed_since_wall >= 0;
 }
 
-double FailureDetector::SilenceLimitSeconds(const Machine& machine) const {
+double FailureDetector::DeathLimitSeconds(const Machine& machine) const {
   const bool unreconciled = IsUnreconciled(machine);
   const Tuning& tuning = *deps_.tuning;
-  double limit_seconds = unreconciled                            ? tuning.failover_wait_s
-                         : health_.silent > limits_.quick_deaths ? tuning.death_s
-                                                                 : tuning.quick_death_s;
+  double limit_seconds = unreconciled                                  ? tuning.failover_wait_s
+                         : health_.unresponsive > limits_.quick_deaths ? tuning.death_s
+                                                                       : tuning.quick_death_s;
   // The worker of a suspected zone, or one that sent its heartbeats to this node, first has to find
   // another node; returning the machine would end tasks that run well. A few unreconciled machines
   // are not given that time: they hold up all tasks that may be on them.
   const bool few_unreconciled = unreconciled && health_.unreconciled <= limits_.quick_deaths;
   if ((deps_.partition_detector->IsZoneSuspected(machine) && !few_unreconciled) ||
-      deps_.reachability_monitor->IsFleetMostlySilent()) {
+      deps_.reachability_monitor->IsFleetMostlyUnresponsive()) {
     limit_seconds = std::max(limit_seconds, tuning.partition_death_s);
   }
   return limit_seconds;
@@ -178,16 +178,18 @@
 void FailureDetector::ReturnIfDead(MachineIndex machine_index) {
   Machine& machine = (*deps_.fleet)[machine_index];
   const double now = deps_.clock->Now();
-  const double silent_seconds = SilentSeconds(machine, now);
+  const double seconds_since_contact = SecondsSinceContact(machine, now);
   if (IsProtectedByPartition(machine)) {
     // Its tasks run until its lease expires; returned sooner, they would end before there is
     // capacity elsewhere.
-    if (silent_seconds > deps_.settings->lease_s * kPartitionLeases && !IsUnreconciled(machine)) {
+    if (seconds_since_contact > deps_.settings->lease_s * kPartitionLeases &&
+        !IsUnreconciled(machine)) {
       deps_.provisioner->ScaleIn(machine_index, "partitioned for several leases");
     }
     return;
   }
-  if (silent_seconds > SilenceLimitSeconds(machine) && machine.probe_failures >= kMinSilentProbes) {
+  if (seconds_since_contact > DeathLimitSeconds(machine) &&
+      machine.probe_failures >= kMinFailedProbes) {
     // The return ends whatever it still runs: sooner than lease expiry would.
     deps_.provisioner->ScaleIn(machine_index, "dead: no heartbeat and no response to probes");
     last_death_at_ = now;
@@ -232,7 +234,7 @@
     return;
   }
   ++machine.probe_failures;
-  // Machines known to be silent must not take the whole budget.
+  // Machines known to be unresponsive must not take the whole budget.
   const int doublings = std::min(machine.unreachable_count, kMaxProbeBackoffDoublings) - 1;
   machine.probe_backoff_until =
       deps_.clock->Now() +
--- a/src/leader/failure_detector.h
+++ b/src/leader/failure_detector.h
@@ -63,17 +63,17 @@
   void HandleLeaseExpiry(MachineIndex machine_index, double now);
   bool IsCheckDue(const Machine& machine, double now, bool urgent) const;
   bool IsUrgent(const Machine& machine, double now) const;
-  // Returns the machine to the cloud if it is silent or reachable one way only for too long.
+  // Returns the machine to the cloud if it is dead or one-way reachable for too long.
   void ReturnIfDead(MachineIndex machine_index);
   // Whether leases inside the partition may still be renewed or run, so that the machine is kept.
   bool IsProtectedByPartition(const Machine& machine) const;
-  double SilenceLimitSeconds(const Machine& machine) const;
+  double DeathLimitSeconds(const Machine& machine) const;
   bool IsOneWayTooLong(const Machine& machine, double now) const;
   void ProbeMachine(MachineIndex machine_index, bool urgent);
   void HandleProbeResponse(MachineIndex machine_index, const WorkerResponse& response,
                            HeartbeatVersion version);
   // Seconds since the machine was heard, counted from the beginning of the term at the most.
-  double SilentSeconds(const Machine& machine, double now) const;
+  double SecondsSinceContact(const Machine& machine, double now) const;
 
   const Dependencies deps_;
   TokenBucket probe_budget_;
--- a/src/leader/partition_detector.cc
+++ b/src/leader/partition_detector.cc
@@ -69,10 +69,10 @@
     // The endpoint is known of machines that ever sent a heartbeat, under whichever leader.
     if (machine.zone == kNoIndex || machine.scaling_in || machine.endpoint.empty()) continue;
     ZoneCounts& zone = counts[machine.zone];
-    const double silent_seconds = now - machine.last_heard_at;
+    const double seconds_since_contact = now - machine.last_heard_at;
     ++zone.known;
-    if (silent_seconds < window_seconds) ++zone.heard_in_window;
-    if (silent_seconds < overdue_seconds) ++zone.heard_in_time;
+    if (seconds_since_contact < window_seconds) ++zone.alive_in_window;
+    if (seconds_since_contact < overdue_seconds) ++zone.alive_in_time;
   }
   return counts;
 }
@@ -83,8 +83,8 @@
   const bool has_controllers = HasControllers(name);
   const bool controllers_reachable = has_controllers && !IsSuspected(name);
   const bool by_window = has_controllers && counts.known >= kMinZoneMachinesForWindow;
-  const size_t heard = by_window ? counts.heard_in_window : counts.heard_in_time;
-  const double heard_limit = static_cast<double>(counts.known) *
+  const size_t alive = by_window ? counts.alive_in_window : counts.alive_in_time;
+  const double alive_limit = static_cast<double>(counts.known) *
                              (was_partitioned ? kPartitionEndsShare : kPartitionBeginsShare);
   bool is_partitioned = false;
   if (name == deps_.settings->site || counts.known < kMinZoneMachines) {
@@ -94,16 +94,16 @@
         (by_window ? WindowSeconds() : HeartbeatOverdueSeconds(*deps_.settings)) +
         kStartMarginSeconds;
     is_partitioned = now - term_began_at_ > wait_seconds && !controllers_reachable &&
-                     static_cast<double>(heard) < heard_limit;
+                     static_cast<double>(alive) < alive_limit;
   } else {
-    is_partitioned = static_cast<double>(heard) < heard_limit;
+    is_partitioned = static_cast<double>(alive) < alive_limit;
   }
   if (was_partitioned && !is_partitioned) {
-    spdlog::info("zone={} machines_heard={} machines={}: partition ended", name, heard,
+    spdlog::info("zone={} machines_alive={} machines={}: partition ended", name, alive,
                  counts.known);
   } else if (!was_partitioned && is_partitioned) {
-    spdlog::warn("zone={} machines_heard={} machines={}: partitioned; waiting for lease expiry",
-                 name, heard, counts.known);
+    spdlog::warn("zone={} machines_alive={} machines={}: partitioned; waiting for lease expiry",
+                 name, alive, counts.known);
   }
   return is_partitioned;
 }
--- a/src/leader/partition_detector.h
+++ b/src/leader/partition_detector.h
@@ -46,8 +46,8 @@
   // Machines of one zone that ever sent a heartbeat.
   struct ZoneCounts {
     size_t known = 0;
-    size_t heard_in_window = 0;  // within part of the heartbeat interval
-    size_t heard_in_time = 0;    // not overdue
+    size_t alive_in_window = 0;  // within part of the heartbeat interval
+    size_t alive_in_time = 0;    // not overdue
   };
 
   std::vector<ZoneCounts> CountZones(double now) const;
--- a/src/leader/reachability_monitor.cc
+++ b/src/leader/reachability_monitor.cc
@@ -12,7 +12,7 @@
 // The workers are lost with fewer responses per timeout than this, or with none for so long.
 constexpr double kFewResponsesShare = 0.1;
 constexpr double kNoResponseSeconds = 1;
-constexpr double kMostlySilentShare = 0.3;
+constexpr double kMostlyUnresponsiveShare = 0.3;
 constexpr double kMajorityShare = 0.5;
 
 }  // namespace
@@ -47,11 +47,12 @@
   // After a failover heartbeats may arrive later than single machines are given.
   const bool mostly_unreconciled = health.unreconciled >= kMinMachinesToJudge &&
                                    unreconciled > (unreconciled + up) * kMajorityShare;
-  const bool many_silent = health.up >= kMinMachinesToJudge &&
-                           static_cast<double>(health.silent) > up * kMostlySilentShare;
+  const bool many_unresponsive =
+      health.up >= kMinMachinesToJudge &&
+      static_cast<double>(health.unresponsive) > up * kMostlyUnresponsiveShare;
   const bool mostly_one_way =
       health.up >= kMinMachinesToJudge && static_cast<double>(health.one_way) > up * kMajorityShare;
-  fleet_mostly_silent_ = lost_workers || mostly_unreconciled || many_silent;
+  fleet_mostly_unresponsive_ = lost_workers || mostly_unreconciled || many_unresponsive;
   if (!lost_workers && !mostly_one_way) {
     unreachable_since_ = -1;
   } else if (unreachable_since_ < 0) {
--- a/src/leader/reachability_monitor.h
+++ b/src/leader/reachability_monitor.h
@@ -18,7 +18,7 @@
 struct FleetHealth {
   size_t up = 0;            // have sent a heartbeat and are not being returned
   size_t busy = 0;          // of those up: run tasks
-  size_t silent = 0;        // of those up: did not respond to their last probe
+  size_t unresponsive = 0;  // of those up: did not respond to their last probe
   size_t one_way = 0;       // of those up: send heartbeats, but no request reaches them
   size_t unreconciled = 0;  // may run a former leader's tasks and were not reconciled yet
 };
@@ -33,8 +33,8 @@
   // Judges anew from the outcomes so far and the fleet's health. Called once per liveness check:
   // older outcomes count for half at each call. `now` is steady time, in seconds.
   void Update(const FleetHealth& health, double now);
-  // Whether so much of the fleet is silent that this node's network is rather at fault.
-  bool IsFleetMostlySilent() const { return fleet_mostly_silent_; }
+  // Whether so much of the fleet is unresponsive that this node's network is rather at fault.
+  bool IsFleetMostlyUnresponsive() const { return fleet_mostly_unresponsive_; }
   // Seconds for which most machines have not responded to this node although their heartbeats
   // arrive by way of other nodes; 0 when they do respond.
   double UnreachableSeconds() const;
@@ -53,7 +53,7 @@
   const PartitionDetector* partition_detector_;
   const Clock* clock_;
   RecentOutcomes recent_;
-  bool fleet_mostly_silent_ = false;
+  bool fleet_mostly_unresponsive_ = false;
   double unreachable_since_ = -1;  // steady time, in seconds; negative: reachable
 };
 
