--- a/src/state/key_value_client.cc
+++ b/src/state/key_value_client.cc
@@ -3,6 +3,8 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <optional>
+#include <utility>
 
 namespace deckhall {
 namespace {
@@ -13,6 +15,13 @@
 constexpr double kCommitSmoothing = 0.1;
 constexpr size_t kMaxResponseBytes = 4 << 20;
 
+// The response is good when there is a number: a revision, or a lease.
+void SetNumber(std::optional<uint64_t> number, KeyValueResponse* response) {
+  if (!number) return;
+  response->status = KeyValueStatus::kOk;
+  response->number = *number;
+}
+
 }  // namespace
 
 // The three controllers share the limits; the one that leads needs most of them.
@@ -75,8 +84,7 @@
   Send(
       {"POST", "/txn", EncodeTransaction(transaction), timeout}, 2,
       [](const HttpResult& result, KeyValueResponse* response) {
-        if (result.status == 200 && DecodeRevision(result.body, &response->number))
-          response->status = KeyValueStatus::kOk;
+        if (result.status == 200) SetNumber(DecodeRevision(result.body), response);
         if (result.status == 409) response->status = KeyValueStatus::kConflict;
         if (result.status == 400) response->status = KeyValueStatus::kInvalid;
         if (result.status == 400)
@@ -94,14 +102,13 @@
   Send(
       {"GET", "/kv/" + key, "", kTimeout}, 2,
       [](const HttpResult& result, KeyValueResponse* response) {
-        KeyValue row;
-        if (result.status == 200 && DecodeKeyValue(result.body, &row)) {
-          response->status = KeyValueStatus::kOk;
-          response->found = true;
-          response->entries.push_back(std::move(row));
-        } else if (result.status == 404 && DecodeRevision(result.body, &response->number)) {
-          response->status = KeyValueStatus::kOk;
-        }
+        if (result.status == 404) SetNumber(DecodeRevision(result.body), response);
+        if (result.status != 200) return;
+        std::optional<KeyValue> entry = DecodeKeyValue(result.body);
+        if (!entry) return;
+        response->status = KeyValueStatus::kOk;
+        response->found = true;
+        response->entries.push_back(std::move(*entry));
       },
       std::move(done));
 }
@@ -112,10 +119,13 @@
   Send(
       {"GET", path, "", kTimeout}, 2,
       [](const HttpResult& result, KeyValueResponse* response) {
-        if (result.status == 200 && DecodeKeyValues(result.body, &response->entries,
-                                                    &response->truncated, &response->number)) {
-          response->status = KeyValueStatus::kOk;
-        }
+        if (result.status != 200) return;
+        std::optional<KeyValuePage> page = DecodeKeyValues(result.body);
+        if (!page) return;
+        response->status = KeyValueStatus::kOk;
+        response->number = page->revision;
+        response->truncated = page->truncated;
+        response->entries = std::move(page->entries);
       },
       std::move(done));
 }
@@ -124,8 +134,7 @@
   Send(
       {"POST", "/grants", EncodeLeaseGrant(ttl_ms), kTimeout}, 1,
       [](const HttpResult& result, KeyValueResponse* response) {
-        if (result.status == 200 && DecodeLeaseGrant(result.body, &response->number))
-          response->status = KeyValueStatus::kOk;
+        if (result.status == 200) SetNumber(DecodeLeaseGrant(result.body), response);
       },
       std::move(done));
 }
@@ -156,8 +165,7 @@
   Send(
       {"GET", path, "", hold_ms / 1000.0 + 3}, 2,
       [](const HttpResult& result, KeyValueResponse* response) {
-        if (result.status == 200 && DecodeRevision(result.body, &response->number))
-          response->status = KeyValueStatus::kOk;
+        if (result.status == 200) SetNumber(DecodeRevision(result.body), response);
         if (result.status == 410) response->status = KeyValueStatus::kConflict;
       },
       std::move(done));
--- a/src/wire/cloud_codec.cc
+++ b/src/wire/cloud_codec.cc
@@ -1,79 +1,123 @@
+// Messages of the cloud.
+//
+//   wire word        term
+//   cascos, casco    machine types, machine type
+//   cubiertas        instances
+//   name_id          name of an instance
+//   muelles, muelle  zones, zone
+//   prestados        spot
+//   estado           instance state
+//   flete            request id
+//   how_many         count
+//   pull_gb_per_s    fetch rate
+//   hourly           price
+//   low_price        spot price
+//   startup_s        boot time
 #include "wire/cloud_codec.h"
 
+#include <utility>
+
+#include "wire/enum_words.h"
 #include "wire/json.h"
 
 namespace deckhall {
+namespace {
+
+constexpr EnumWord<InstanceState> kInstanceStateWords[] = {{InstanceState::kStarting, "starting"},
+                                                           {InstanceState::kRunning, "running"},
+                                                           {InstanceState::kFailed, "failed"}};
+
+std::vector<std::string> ReadZones(const JsonValue& row) {
+  std::vector<std::string> names;
+  const JsonValue* zones = JsonMember(row, "muelles");
+  if (zones == nullptr || !zones->IsArray()) return names;
+  for (const auto& zone : zones->GetArray()) {
+    if (zone.IsString()) names.emplace_back(zone.GetString(), zone.GetStringLength());
+  }
+  return names;
+}
+
+std::optional<MachineType> ReadMachineType(const JsonValue& row) {
+  MachineType type;
+  if (!JsonString(row, "name", &type.name) || type.name.empty()) return std::nullopt;
+  if (!JsonNumber(row, "cores", &type.cores) || !JsonNumber(row, "memory_gb", &type.memory_gb)) {
+    return std::nullopt;
+  }
+  JsonNumber(row, "gpus", &type.gpus);
+  JsonNumber(row, "cache_gb", &type.cache_gb);
+  JsonNumber(row, "pull_gb_per_s", &type.fetch_gb_per_s);
+  JsonNumber(row, "hourly", &type.price);
+  if (!JsonNumber(row, "low_price", &type.spot_price)) type.spot_price = type.price;
+  JsonNumber(row, "startup_s", &type.boot_s);
+  type.zones = ReadZones(row);
+  return type;
+}
+
+std::optional<CloudInstance> ReadInstance(const JsonValue& row) {
+  CloudInstance instance;
+  if (!JsonString(row, "name_id", &instance.name) || instance.name.empty()) return std::nullopt;
+  JsonString(row, "endpoint", &instance.endpoint);
+  JsonString(row, "casco", &instance.type);
+  JsonString(row, "muelle", &instance.zone);
+  JsonBool(row, "prestados", &instance.spot);
+  std::string word;
+  JsonString(row, "estado", &word);
+  instance.state = EnumOf(kInstanceStateWords, word).value_or(InstanceState::kStarting);
+  JsonNumber(row, "age_s", &instance.age_s);
+  return instance;
+}
+
+}  // namespace
 
-bool DecodeTypes(std::string_view body, std::vector<MachineType>* out) {
-  rapidjson::Document doc;
-  if (!ParseJson(body, &doc)) return false;
-  const JsonValue* rows = JsonMember(doc, "cascos");
-  if (rows == nullptr || !rows->IsArray()) return false;
+std::optional<std::vector<MachineType>> DecodeTypes(std::string_view body) {
+  rapidjson::Document document;
+  if (!ParseJson(body, &document)) return std::nullopt;
+  const JsonValue* rows = JsonMember(document, "cascos");
+  if (rows == nullptr || !rows->IsArray()) return std::nullopt;
+  std::vector<MachineType> types;
   for (const auto& row : rows->GetArray()) {
-    MachineType type;
-    if (!JsonString(row, "name", &type.name) || type.name.empty()) return false;
-    if (!JsonNumber(row, "cores", &type.cores) || !JsonNumber(row, "memory_gb", &type.memory_gb)) {
-      return false;
-    }
-    JsonNumber(row, "gpus", &type.gpus);
-    JsonNumber(row, "cache_gb", &type.cache_gb);
-    JsonNumber(row, "pull_gb_per_s", &type.fetch_gb_per_s);
-    JsonNumber(row, "hourly", &type.price);
-    if (!JsonNumber(row, "low_price", &type.spot_price)) type.spot_price = type.price;
-    JsonNumber(row, "startup_s", &type.boot_s);
-    if (const JsonValue* zones = JsonMember(row, "muelles"); zones != nullptr && zones->IsArray()) {
-      for (const auto& z : zones->GetArray()) {
-        if (z.IsString()) type.zones.emplace_back(z.GetString(), z.GetStringLength());
-      }
-    }
-    out->push_back(std::move(type));
+    std::optional<MachineType> type = ReadMachineType(row);
+    if (!type) return std::nullopt;
+    types.push_back(std::move(*type));
   }
-  return !out->empty();
+  if (types.empty()) return std::nullopt;
+  return types;
 }
 
-bool DecodeInstanceList(std::string_view body, std::vector<CloudInstance>* out, bool* truncated) {
-  rapidjson::Document doc;
-  if (!ParseJson(body, &doc)) return false;
-  const JsonValue* rows = JsonMember(doc, "cubiertas");
-  if (rows == nullptr || !rows->IsArray()) return false;
-  *truncated = false;
-  JsonBool(doc, "truncated", truncated);
+std::optional<InstancePage> DecodeInstanceList(std::string_view body) {
+  rapidjson::Document document;
+  if (!ParseJson(body, &document)) return std::nullopt;
+  const JsonValue* rows = JsonMember(document, "cubiertas");
+  if (rows == nullptr || !rows->IsArray()) return std::nullopt;
+  InstancePage page;
+  JsonBool(document, "truncated", &page.truncated);
   for (const auto& row : rows->GetArray()) {
-    CloudInstance instance;
-    if (!JsonString(row, "name_id", &instance.name) || instance.name.empty()) return false;
-    JsonString(row, "endpoint", &instance.endpoint);
-    JsonString(row, "casco", &instance.type);
-    JsonString(row, "muelle", &instance.zone);
-    JsonBool(row, "prestados", &instance.spot);
-    std::string state;
-    JsonString(row, "estado", &state);
-    instance.state = state == "running"  ? InstanceState::kRunning
-                     : state == "failed" ? InstanceState::kFailed
-                                         : InstanceState::kStarting;
-    JsonNumber(row, "age_s", &instance.age_s);
-    out->push_back(std::move(instance));
+    std::optional<CloudInstance> instance = ReadInstance(row);
+    if (!instance) return std::nullopt;
+    page.instances.push_back(std::move(*instance));
   }
-  return true;
+  return page;
 }
 
-bool DecodeScaleOutResponse(std::string_view body, std::vector<std::string>* out) {
-  rapidjson::Document doc;
-  if (!ParseJson(body, &doc)) return false;
-  const JsonValue* rows = JsonMember(doc, "cubiertas");
-  if (rows == nullptr || !rows->IsArray()) return false;
+std::optional<std::vector<std::string>> DecodeScaleOutResponse(std::string_view body) {
+  rapidjson::Document document;
+  if (!ParseJson(body, &document)) return std::nullopt;
+  const JsonValue* rows = JsonMember(document, "cubiertas");
+  if (rows == nullptr || !rows->IsArray()) return std::nullopt;
+  std::vector<std::string> names;
   for (const auto& row : rows->GetArray()) {
-    if (!row.IsString()) return false;
-    out->emplace_back(row.GetString(), row.GetStringLength());
+    if (!row.IsString()) return std::nullopt;
+    names.emplace_back(row.GetString(), row.GetStringLength());
   }
-  return true;
+  return names;
 }
 
-std::string EncodeScaleOut(const std::string& request, const std::string& type,
+std::string EncodeScaleOut(const std::string& request_id, const std::string& type,
                            const std::string& zone, bool spot, int count) {
   rapidjson::StringBuffer buffer;
   JsonWriter writer(buffer);
   writer.StartObject();
-  PutString(writer, "flete", request);
+  PutString(writer, "flete", request_id);
   PutString(writer, "casco", type);
   PutString(writer, "muelle", zone);
   writer.Key("prestados");
@@ -90,7 +134,7 @@
   writer.StartObject();
   writer.Key("cubiertas");
   writer.StartArray();
-  for (const auto& m : machines) writer.String(m);
+  for (const std::string& machine : machines) writer.String(machine);
   writer.EndArray();
   writer.EndObject();
   return buffer.GetString();
--- a/src/wire/key_value_codec.cc
+++ b/src/wire/key_value_codec.cc
@@ -1,5 +1,15 @@
+// Messages of the state service.
+//
+//   wire word   term
+//   huella      version of a key
+//   marea       revision of the store
+//   amarre      lease
+//   data        value
+//   rows        entries
 #include "wire/key_value_codec.h"
 
+#include <utility>
+
 namespace deckhall {
 namespace {
 
@@ -10,12 +20,39 @@
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-bool ReadKeyValue(const JsonValue& row, KeyValue* out) {
-  if (!JsonString(row, "key", &out->key) || !JsonU64(row, "huella", &out->version)) return false;
+std::optional<KeyValue> ReadKeyValue(const JsonValue& row) {
+  KeyValue entry;
+  if (!JsonString(row, "key", &entry.key) || !JsonU64(row, "huella", &entry.version)) {
+    return std::nullopt;
+  }
   const JsonValue* data = JsonMember(row, "data");
-  if (data == nullptr) return false;
-  out->value = Render(*data);
-  return true;
+  if (data == nullptr) return std::nullopt;
+  entry.value = Render(*data);
+  return entry;
+}
+
+void WritePrecondition(JsonWriter& writer, const Precondition& precondition) {
+  writer.StartObject();
+  PutString(writer, "key", precondition.key);
+  writer.Key("huella");
+  writer.Uint64(precondition.version);
+  writer.EndObject();
+}
+
+void WriteMutation(JsonWriter& writer, const Mutation& mutation) {
+  writer.StartObject();
+  if (mutation.value.empty()) {
+    PutString(writer, "remove", mutation.key);
+  } else {
+    PutString(writer, "put", mutation.key);
+    writer.Key("data");
+    writer.RawValue(mutation.value.data(), mutation.value.size(), rapidjson::kObjectType);
+    if (mutation.lease != 0) {
+      writer.Key("amarre");
+      writer.Uint64(mutation.lease);
+    }
+  }
+  writer.EndObject();
 }
 
 }  // namespace
@@ -26,32 +63,14 @@
   writer.StartObject();
   writer.Key("if");
   writer.StartArray();
-  for (const auto& c : transaction.preconditions) {
-    writer.StartObject();
-    PutString(writer, "key", c.key);
-    writer.Key("huella");
-    writer.Uint64(c.version);
-    writer.EndObject();
+  for (const Precondition& precondition : transaction.preconditions) {
+    WritePrecondition(writer, precondition);
   }
   writer.EndArray();
   if (!transaction.mutations.empty()) {
     writer.Key("writes");
     writer.StartArray();
-    for (const auto& op : transaction.mutations) {
-      writer.StartObject();
-      if (op.value.empty()) {
-        PutString(writer, "remove", op.key);
-      } else {
-        PutString(writer, "put", op.key);
-        writer.Key("data");
-        writer.RawValue(op.value.data(), op.value.size(), rapidjson::kObjectType);
-        if (op.lease != 0) {
-          writer.Key("amarre");
-          writer.Uint64(op.lease);
-        }
-      }
-      writer.EndObject();
-    }
+    for (const Mutation& mutation : transaction.mutations) WriteMutation(writer, mutation);
     writer.EndArray();
   }
   writer.EndObject();
@@ -60,36 +79,41 @@
 
 std::string EncodeLeaseGrant(int ttl_ms) { return "{\"ttl_ms\":" + std::to_string(ttl_ms) + "}"; }
 
-bool DecodeKeyValue(std::string_view body, KeyValue* out) {
-  rapidjson::Document doc;
-  return ParseJson(body, &doc) && ReadKeyValue(doc, out);
+std::optional<KeyValue> DecodeKeyValue(std::string_view body) {
+  rapidjson::Document document;
+  if (!ParseJson(body, &document)) return std::nullopt;
+  return ReadKeyValue(document);
 }
 
-bool DecodeKeyValues(std::string_view body, std::vector<KeyValue>* rows, bool* truncated,
-                     uint64_t* revision) {
-  rapidjson::Document doc;
-  if (!ParseJson(body, &doc)) return false;
-  const JsonValue* items = JsonMember(doc, "rows");
-  if (items == nullptr || !items->IsArray()) return false;
-  *truncated = false;
-  JsonBool(doc, "truncated", truncated);
-  if (!JsonU64(doc, "marea", revision)) return false;
-  for (const auto& item : items->GetArray()) {
-    KeyValue row;
-    if (!ReadKeyValue(item, &row)) return false;
-    rows->push_back(std::move(row));
+std::optional<KeyValuePage> DecodeKeyValues(std::string_view body) {
+  rapidjson::Document document;
+  if (!ParseJson(body, &document)) return std::nullopt;
+  const JsonValue* rows = JsonMember(document, "rows");
+  if (rows == nullptr || !rows->IsArray()) return std::nullopt;
+  KeyValuePage page;
+  JsonBool(document, "truncated", &page.truncated);
+  if (!JsonU64(document, "marea", &page.revision)) return std::nullopt;
+  for (const auto& row : rows->GetArray()) {
+    std::optional<KeyValue> entry = ReadKeyValue(row);
+    if (!entry) return std::nullopt;
+    page.entries.push_back(std::move(*entry));
   }
-  return true;
+  return page;
 }
 
-bool DecodeRevision(std::string_view body, uint64_t* revision) {
-  rapidjson::Document doc;
-  return ParseJson(body, &doc) && JsonU64(doc, "marea", revision);
+std::optional<uint64_t> DecodeRevision(std::string_view body) {
+  rapidjson::Document document;
+  uint64_t revision = 0;
+  if (!ParseJson(body, &document) || !JsonU64(document, "marea", &revision)) return std::nullopt;
+  return revision;
 }
 
-bool DecodeLeaseGrant(std::string_view body, uint64_t* lease) {
-  rapidjson::Document doc;
-  return ParseJson(body, &doc) && JsonU64(doc, "amarre", lease) && *lease != 0;
+std::optional<uint64_t> DecodeLeaseGrant(std::string_view body) {
+  rapidjson::Document document;
+  uint64_t lease = 0;
+  if (!ParseJson(body, &document) || !JsonU64(document, "amarre", &lease)) return std::nullopt;
+  if (lease == 0) return std::nullopt;
+  return lease;
 }
 
 }  // namespace deckhall
--- a/src/wire/peer_codec.cc
+++ b/src/wire/peer_codec.cc
@@ -1,3 +1,26 @@
+// Frames between the controllers. mesh.capnp keeps the names it was written with:
+//
+//   schema             term
+//   Report             heartbeat
+//   ReportResponse     heartbeat response
+//   UserRequest        job request
+//   UserResponse       job response
+//   Job.oneZone        single-zone
+//   Job.apart          anti-affinity
+//   Job.spot           spot-tolerant
+//   Job.checkpointS    checkpoint interval
+//   Job.saveS          checkpoint grace period
+//   session            agent epoch
+//   seq                sequence number
+//   token              fencing token
+//   noticeS            preemption notice; negative: none
+//   why                exit reason
+//   saved              checkpointed
+//   reportTo           the controller to report to
+//   Ping.leading       lease is valid
+//   Ping.holding       holds the leader key
+//   Ping.informed      term is confirmed
+//   Ping.reaches       reachable peers
 #include "wire/peer_codec.h"
 
 #include <capnp/message.h>
@@ -5,256 +28,314 @@
 #include <kj/exception.h>
 
 #include <cstring>
+#include <utility>
 
 #include "mesh.capnp.h"
 
 namespace deckhall {
 namespace {
 
-std::string Str(capnp::Text::Reader t) { return {t.cStr(), t.size()}; }
-capnp::Text::Reader Txt(const std::string& s) { return {s.c_str(), s.size()}; }
-
-void Put(const JobSpec& j, mesh::Job::Builder b) {
-  b.setId(Txt(j.id));
-  b.setJobClass(Txt(j.job_class));
-  b.setTeam(Txt(j.team));
-  b.setService(j.service);
-  b.setGang(j.gang);
-  b.setPriority(static_cast<uint8_t>(j.priority));
-  b.setTasks(j.task_count);
-  b.setCores(j.cores);
-  b.setGpus(j.gpus);
-  b.setMemoryGb(j.memory_gb);
-  b.setImage(Txt(j.image));
-  b.setImageGb(j.image_gb);
-  b.setAnyType(!j.allowed_types.has_value());
-  if (j.allowed_types) {
-    auto list = b.initTypes(static_cast<unsigned>(j.allowed_types->size()));
-    for (unsigned i = 0; i < list.size(); ++i) list.set(i, Txt((*j.allowed_types)[i]));
+constexpr int kLengthBytes = 4;
+constexpr double kAbsent = -1;  // of a number that is never negative
+
+std::string ToString(capnp::Text::Reader text) { return {text.cStr(), text.size()}; }
+capnp::Text::Reader ToText(const std::string& text) { return {text.c_str(), text.size()}; }
+
+// Enums go over the wire as their numbers. One that a later version added becomes `otherwise`.
+template <class Enum>
+Enum ToEnum(uint8_t number, Enum last, Enum otherwise) {
+  return number > static_cast<uint8_t>(last) ? otherwise : static_cast<Enum>(number);
+}
+
+// Of enums with four values: only the lower two bits count.
+template <class Enum>
+Enum ToEnumOfFour(uint8_t number) {
+  return static_cast<Enum>(number & 3);
+}
+
+void WriteJobSpec(const JobSpec& job, mesh::Job::Builder builder) {
+  builder.setId(ToText(job.id));
+  builder.setJobClass(ToText(job.job_class));
+  builder.setTeam(ToText(job.team));
+  builder.setService(job.service);
+  builder.setGang(job.gang);
+  builder.setPriority(static_cast<uint8_t>(job.priority));
+  builder.setTasks(job.task_count);
+  builder.setCores(job.cores);
+  builder.setGpus(job.gpus);
+  builder.setMemoryGb(job.memory_gb);
+  builder.setImage(ToText(job.image));
+  builder.setImageGb(job.image_gb);
+  builder.setAnyType(!job.allowed_types.has_value());
+  if (job.allowed_types) {
+    auto types = builder.initTypes(static_cast<unsigned>(job.allowed_types->size()));
+    for (unsigned i = 0; i < types.size(); ++i) types.set(i, ToText((*job.allowed_types)[i]));
   }
-  b.setZone(Txt(j.zone));
-  b.setOneZone(j.single_zone);
-  b.setApart(j.anti_affinity);
-  b.setSpot(j.spot_tolerant);
-  b.setEstimateS(j.estimated_runtime_s);
-  b.setCheckpointS(j.checkpoint_interval_s);
-  b.setSaveS(j.checkpoint_grace_s);
-  b.setDeadlineS(j.deadline_s.value_or(-1));
+  builder.setZone(ToText(job.zone));
+  builder.setOneZone(job.single_zone);
+  builder.setApart(job.anti_affinity);
+  builder.setSpot(job.spot_tolerant);
+  builder.setEstimateS(job.estimated_runtime_s);
+  builder.setCheckpointS(job.checkpoint_interval_s);
+  builder.setSaveS(job.checkpoint_grace_s);
+  builder.setDeadlineS(job.deadline_s.value_or(kAbsent));
 }
 
-void Get(mesh::Job::Reader r, JobSpec* j) {
-  j->id = Str(r.getId());
-  j->job_class = Str(r.getJobClass());
-  j->team = Str(r.getTeam());
-  j->service = r.getService();
-  j->gang = r.getGang();
-  j->priority = static_cast<Priority>(r.getPriority() & 3);
-  j->task_count = r.getTasks();
-  j->cores = r.getCores();
-  j->gpus = r.getGpus();
-  j->memory_gb = r.getMemoryGb();
-  j->image = Str(r.getImage());
-  j->image_gb = r.getImageGb();
-  if (!r.getAnyType()) {
-    j->allowed_types.emplace();
-    for (auto t : r.getTypes()) j->allowed_types->push_back(Str(t));
+JobSpec ReadJobSpec(mesh::Job::Reader reader) {
+  JobSpec job;
+  job.id = ToString(reader.getId());
+  job.job_class = ToString(reader.getJobClass());
+  job.team = ToString(reader.getTeam());
+  job.service = reader.getService();
+  job.gang = reader.getGang();
+  job.priority = ToEnumOfFour<Priority>(reader.getPriority());
+  job.task_count = reader.getTasks();
+  job.cores = reader.getCores();
+  job.gpus = reader.getGpus();
+  job.memory_gb = reader.getMemoryGb();
+  job.image = ToString(reader.getImage());
+  job.image_gb = reader.getImageGb();
+  if (!reader.getAnyType()) {
+    job.allowed_types.emplace();
+    for (auto type : reader.getTypes()) job.allowed_types->push_back(ToString(type));
   }
-  j->zone = Str(r.getZone());
-  j->single_zone = r.getOneZone();
-  j->anti_affinity = r.getApart();
-  j->spot_tolerant = r.getSpot();
-  j->estimated_runtime_s = r.getEstimateS();
-  j->checkpoint_interval_s = r.getCheckpointS();
-  j->checkpoint_grace_s = r.getSaveS();
-  if (r.getDeadlineS() >= 0) j->deadline_s = r.getDeadlineS();
+  job.zone = ToString(reader.getZone());
+  job.single_zone = reader.getOneZone();
+  job.anti_affinity = reader.getApart();
+  job.spot_tolerant = reader.getSpot();
+  job.estimated_runtime_s = reader.getEstimateS();
+  job.checkpoint_interval_s = reader.getCheckpointS();
+  job.checkpoint_grace_s = reader.getSaveS();
+  if (reader.getDeadlineS() >= 0) job.deadline_s = reader.getDeadlineS();
+  return job;
+}
+
+void WriteTaskStatus(const TaskStatus& status, mesh::TaskReport::Builder builder) {
+  builder.setTask(ToText(status.task_name));
+  builder.setAttempt(status.attempt);
+  builder.setState(static_cast<uint8_t>(status.state));
+  builder.setWhy(static_cast<uint8_t>(status.exit_reason));
+  builder.setSaved(status.checkpointed);
+}
+
+TaskStatus ReadTaskStatus(mesh::TaskReport::Reader reader) {
+  TaskStatus status;
+  status.task_name = ToString(reader.getTask());
+  status.attempt = reader.getAttempt();
+  status.state = ToEnum(reader.getState(), TaskState::kWaitingForGang, TaskState::kExited);
+  status.exit_reason = ToEnum(reader.getWhy(), ExitReason::kGangIncomplete, ExitReason::kError);
+  status.checkpointed = reader.getSaved();
+  return status;
+}
+
+void WriteCommand(const Command& command, mesh::Command::Builder builder) {
+  builder.setOp(static_cast<uint8_t>(command.operation));
+  builder.setTask(ToText(command.task_name));
+  builder.setAttempt(command.attempt);
+  builder.setGraceS(command.grace_period_s);
+}
+
+Command ReadCommand(mesh::Command::Reader reader) {
+  Command command;
+  command.operation =
+      ToEnum(reader.getOp(), CommandOp::kAcknowledgeExit, CommandOp::kAcknowledgeExit);
+  command.task_name = ToString(reader.getTask());
+  command.attempt = reader.getAttempt();
+  command.grace_period_s = reader.getGraceS();
+  return command;
 }
 
-struct Writer {
-  mesh::Frame::Builder f;
+// Writes the body of a frame.
+struct BodyWriter {
+  mesh::Frame::Builder frame;
+
+  void operator()(std::monostate) { frame.setNone(); }
 
-  void operator()(std::monostate) { f.setNone(); }
   void operator()(const PeerPing& ping) {
-    auto b = f.initPing();
-    b.setLabel(Txt(ping.label));
-    b.setInstance(ping.instance);
-    b.setLeading(ping.lease_valid);
-    b.setHolding(ping.holds_leader_key);
-    b.setInformed(ping.term_confirmed);
-    b.setTerm(ping.term);
-    b.setLeader(Txt(ping.leader));
-    auto list = b.initReaches(static_cast<unsigned>(ping.reachable_peers.size()));
-    for (unsigned i = 0; i < list.size(); ++i) list.set(i, Txt(ping.reachable_peers[i]));
+    auto builder = frame.initPing();
+    builder.setLabel(ToText(ping.label));
+    builder.setInstance(ping.instance);
+    builder.setLeading(ping.lease_valid);
+    builder.setHolding(ping.holds_leader_key);
+    builder.setInformed(ping.term_confirmed);
+    builder.setTerm(ping.term);
+    builder.setLeader(ToText(ping.leader));
+    auto peers = builder.initReaches(static_cast<unsigned>(ping.reachable_peers.size()));
+    for (unsigned i = 0; i < peers.size(); ++i) peers.set(i, ToText(ping.reachable_peers[i]));
   }
-  void operator()(const JobRequest& a) {
-    auto b = f.initUserRequest();
-    b.setOp(static_cast<uint8_t>(a.operation));
-    b.setId(Txt(a.job_id));
-    b.setInvalid(Txt(a.validation_error));
-    if (a.operation == JobOperation::kSubmit && a.validation_error.empty()) Put(a.job, b.initJob());
+
+  void operator()(const JobRequest& request) {
+    auto builder = frame.initUserRequest();
+    builder.setOp(static_cast<uint8_t>(request.operation));
+    builder.setId(ToText(request.job_id));
+    builder.setInvalid(ToText(request.validation_error));
+    if (request.operation == JobOperation::kSubmit && request.validation_error.empty()) {
+      WriteJobSpec(request.job, builder.initJob());
+    }
   }
+
   void operator()(const JobResponse& response) {
-    auto b = f.initUserResponse();
-    b.setStatus(static_cast<uint16_t>(response.status));
-    b.setState(static_cast<uint8_t>(response.state));
-    b.setDone(response.tasks_done);
-    b.setRunning(response.tasks_running);
-    b.setError(Txt(response.error));
-    b.setRetryAfterS(static_cast<uint16_t>(response.retry_after_s));
+    auto builder = frame.initUserResponse();
+    builder.setStatus(static_cast<uint16_t>(response.status));
+    builder.setState(static_cast<uint8_t>(response.state));
+    builder.setDone(response.tasks_done);
+    builder.setRunning(response.tasks_running);
+    builder.setError(ToText(response.error));
+    builder.setRetryAfterS(static_cast<uint16_t>(response.retry_after_s));
   }
+
   void operator()(const Heartbeat& heartbeat) {
-    auto b = f.initReport();
-    b.setMachine(Txt(heartbeat.machine));
-    b.setEndpoint(Txt(heartbeat.endpoint));
-    b.setType(Txt(heartbeat.type));
-    b.setZone(Txt(heartbeat.zone));
-    b.setSpot(heartbeat.spot);
-    b.setSession(heartbeat.agent_epoch);
-    b.setSeq(heartbeat.sequence);
-    b.setToken(heartbeat.fencing_token);
-    b.setNoticeS(heartbeat.preemption_notice_s.value_or(-1));
-    auto list = b.initTasks(static_cast<unsigned>(heartbeat.tasks.size()));
-    for (unsigned i = 0; i < list.size(); ++i) {
-      const TaskStatus& status = heartbeat.tasks[i];
-      list[i].setTask(Txt(status.task_name));
-      list[i].setAttempt(status.attempt);
-      list[i].setState(static_cast<uint8_t>(status.state));
-      list[i].setWhy(static_cast<uint8_t>(status.exit_reason));
-      list[i].setSaved(status.checkpointed);
-    }
+    auto builder = frame.initReport();
+    builder.setMachine(ToText(heartbeat.machine));
+    builder.setEndpoint(ToText(heartbeat.endpoint));
+    builder.setType(ToText(heartbeat.type));
+    builder.setZone(ToText(heartbeat.zone));
+    builder.setSpot(heartbeat.spot);
+    builder.setSession(heartbeat.agent_epoch);
+    builder.setSeq(heartbeat.sequence);
+    builder.setToken(heartbeat.fencing_token);
+    builder.setNoticeS(heartbeat.preemption_notice_s.value_or(kAbsent));
+    auto tasks = builder.initTasks(static_cast<unsigned>(heartbeat.tasks.size()));
+    for (unsigned i = 0; i < tasks.size(); ++i) WriteTaskStatus(heartbeat.tasks[i], tasks[i]);
   }
+
   void operator()(const HeartbeatResponse& response) {
-    auto b = f.initReportResponse();
-    b.setStatus(static_cast<uint16_t>(response.status));
-    b.setToken(response.fencing_token);
-    b.setReportTo(Txt(response.redirect_to));
-    auto list = b.initCommands(static_cast<unsigned>(response.commands.size()));
-    for (unsigned i = 0; i < list.size(); ++i) {
-      const Command& command = response.commands[i];
-      list[i].setOp(static_cast<uint8_t>(command.operation));
-      list[i].setTask(Txt(command.task_name));
-      list[i].setAttempt(command.attempt);
-      list[i].setGraceS(command.grace_period_s);
-    }
+    auto builder = frame.initReportResponse();
+    builder.setStatus(static_cast<uint16_t>(response.status));
+    builder.setToken(response.fencing_token);
+    builder.setReportTo(ToText(response.redirect_to));
+    auto commands = builder.initCommands(static_cast<unsigned>(response.commands.size()));
+    for (unsigned i = 0; i < commands.size(); ++i) WriteCommand(response.commands[i], commands[i]);
   }
 };
 
-void Read(mesh::Frame::Reader f, PeerFrame* out) {
-  out->id = f.getId();
-  out->target = Str(f.getTarget());
-  out->hops = f.getHops();
-  switch (f.which()) {
+PeerPing ReadPing(mesh::Ping::Reader reader) {
+  PeerPing ping;
+  ping.label = ToString(reader.getLabel());
+  ping.instance = reader.getInstance();
+  ping.lease_valid = reader.getLeading();
+  ping.holds_leader_key = reader.getHolding();
+  ping.term_confirmed = reader.getInformed();
+  ping.term = reader.getTerm();
+  ping.leader = ToString(reader.getLeader());
+  for (auto peer : reader.getReaches()) ping.reachable_peers.push_back(ToString(peer));
+  return ping;
+}
+
+JobRequest ReadJobRequest(mesh::UserRequest::Reader reader) {
+  JobRequest request;
+  request.operation = ToEnum(reader.getOp(), JobOperation::kSubmit, JobOperation::kGet);
+  request.job_id = ToString(reader.getId());
+  request.validation_error = ToString(reader.getInvalid());
+  if (reader.hasJob()) request.job = ReadJobSpec(reader.getJob());
+  return request;
+}
+
+JobResponse ReadJobResponse(mesh::UserResponse::Reader reader) {
+  JobResponse response;
+  response.status = reader.getStatus();
+  response.state = ToEnumOfFour<JobState>(reader.getState());
+  response.tasks_done = reader.getDone();
+  response.tasks_running = reader.getRunning();
+  response.error = ToString(reader.getError());
+  response.retry_after_s = reader.getRetryAfterS();
+  return response;
+}
+
+Heartbeat ReadHeartbeat(mesh::Report::Reader reader) {
+  Heartbeat heartbeat;
+  heartbeat.machine = ToString(reader.getMachine());
+  heartbeat.endpoint = ToString(reader.getEndpoint());
+  heartbeat.type = ToString(reader.getType());
+  heartbeat.zone = ToString(reader.getZone());
+  heartbeat.spot = reader.getSpot();
+  heartbeat.agent_epoch = reader.getSession();
+  heartbeat.sequence = reader.getSeq();
+  heartbeat.fencing_token = reader.getToken();
+  if (reader.getNoticeS() >= 0) heartbeat.preemption_notice_s = reader.getNoticeS();
+  for (auto task : reader.getTasks()) heartbeat.tasks.push_back(ReadTaskStatus(task));
+  return heartbeat;
+}
+
+HeartbeatResponse ReadHeartbeatResponse(mesh::ReportResponse::Reader reader) {
+  HeartbeatResponse response;
+  response.status = reader.getStatus();
+  response.fencing_token = reader.getToken();
+  response.redirect_to = ToString(reader.getReportTo());
+  for (auto command : reader.getCommands()) response.commands.push_back(ReadCommand(command));
+  return response;
+}
+
+PeerFrame ReadFrame(mesh::Frame::Reader reader) {
+  PeerFrame frame;
+  frame.id = reader.getId();
+  frame.target = ToString(reader.getTarget());
+  frame.hops = reader.getHops();
+  switch (reader.which()) {
     case mesh::Frame::NONE:
       break;
-    case mesh::Frame::PING: {
-      auto r = f.getPing();
-      PeerPing ping;
-      ping.label = Str(r.getLabel());
-      ping.instance = r.getInstance();
-      ping.lease_valid = r.getLeading();
-      ping.holds_leader_key = r.getHolding();
-      ping.term_confirmed = r.getInformed();
-      ping.term = r.getTerm();
-      ping.leader = Str(r.getLeader());
-      for (auto t : r.getReaches()) ping.reachable_peers.push_back(Str(t));
-      out->body = std::move(ping);
+    case mesh::Frame::PING:
+      frame.body = ReadPing(reader.getPing());
       break;
-    }
-    case mesh::Frame::USER_REQUEST: {
-      auto r = f.getUserRequest();
-      JobRequest a;
-      a.operation = static_cast<JobOperation>(r.getOp() > 2 ? 0 : r.getOp());
-      a.job_id = Str(r.getId());
-      a.validation_error = Str(r.getInvalid());
-      if (r.hasJob()) Get(r.getJob(), &a.job);
-      out->body = std::move(a);
+    case mesh::Frame::USER_REQUEST:
+      frame.body = ReadJobRequest(reader.getUserRequest());
       break;
-    }
-    case mesh::Frame::USER_RESPONSE: {
-      auto r = f.getUserResponse();
-      JobResponse u;
-      u.status = r.getStatus();
-      u.state = static_cast<JobState>(r.getState() & 3);
-      u.tasks_done = r.getDone();
-      u.tasks_running = r.getRunning();
-      u.error = Str(r.getError());
-      u.retry_after_s = r.getRetryAfterS();
-      out->body = std::move(u);
+    case mesh::Frame::USER_RESPONSE:
+      frame.body = ReadJobResponse(reader.getUserResponse());
       break;
-    }
-    case mesh::Frame::REPORT: {
-      auto r = f.getReport();
-      Heartbeat p;
-      p.machine = Str(r.getMachine());
-      p.endpoint = Str(r.getEndpoint());
-      p.type = Str(r.getType());
-      p.zone = Str(r.getZone());
-      p.spot = r.getSpot();
-      p.agent_epoch = r.getSession();
-      p.sequence = r.getSeq();
-      p.fencing_token = r.getToken();
-      if (r.getNoticeS() >= 0) p.preemption_notice_s = r.getNoticeS();
-      for (auto t : r.getTasks()) {
-        TaskStatus status;
-        status.task_name = Str(t.getTask());
-        status.attempt = t.getAttempt();
-        status.state = static_cast<TaskState>(t.getState() > 4 ? 3 : t.getState());
-        status.exit_reason = static_cast<ExitReason>(t.getWhy() > 8 ? 3 : t.getWhy());
-        status.checkpointed = t.getSaved();
-        p.tasks.push_back(std::move(status));
-      }
-      out->body = std::move(p);
+    case mesh::Frame::REPORT:
+      frame.body = ReadHeartbeat(reader.getReport());
       break;
-    }
-    case mesh::Frame::REPORT_RESPONSE: {
-      auto r = f.getReportResponse();
-      HeartbeatResponse p;
-      p.status = r.getStatus();
-      p.fencing_token = r.getToken();
-      p.redirect_to = Str(r.getReportTo());
-      for (auto c : r.getCommands()) {
-        Command row;
-        row.operation = static_cast<CommandOp>(c.getOp() > 2 ? 2 : c.getOp());
-        row.task_name = Str(c.getTask());
-        row.attempt = c.getAttempt();
-        row.grace_period_s = c.getGraceS();
-        p.commands.push_back(std::move(row));
-      }
-      out->body = std::move(p);
+    case mesh::Frame::REPORT_RESPONSE:
+      frame.body = ReadHeartbeatResponse(reader.getReportResponse());
       break;
-    }
+  }
+  return frame;
+}
+
+void AppendLength(uint32_t length, std::string* out) {
+  for (int i = 0; i < kLengthBytes; ++i) {
+    out->push_back(static_cast<char>((length >> (8 * i)) & 255));
   }
 }
 
 }  // namespace
 
 void EncodeFrame(const PeerFrame& frame, std::string* out) {
-  capnp::MallocMessageBuilder builder;
-  auto f = builder.initRoot<mesh::Frame>();
-  f.setId(frame.id);
-  f.setTarget(Txt(frame.target));
-  f.setHops(frame.hops);
-  std::visit(Writer{f}, frame.body);
-  auto words = capnp::messageToFlatArray(builder);
+  capnp::MallocMessageBuilder message;
+  auto root = message.initRoot<mesh::Frame>();
+  root.setId(frame.id);
+  root.setTarget(ToText(frame.target));
+  root.setHops(frame.hops);
+  std::visit(BodyWriter{root}, frame.body);
+  auto words = capnp::messageToFlatArray(message);
   auto bytes = words.asBytes();
-  const auto n = static_cast<uint32_t>(bytes.size());
-  for (int i = 0; i < 4; ++i) out->push_back(static_cast<char>((n >> (8 * i)) & 255));
+  AppendLength(static_cast<uint32_t>(bytes.size()), out);
   out->append(reinterpret_cast<const char*>(bytes.begin()), bytes.size());
 }
 
-bool DecodeFrame(std::string_view bytes, PeerFrame* frame) {
-  if (bytes.empty() || bytes.size() % sizeof(capnp::word) != 0) return false;
+std::optional<PeerFrame> DecodeFrame(std::string_view bytes) {
+  if (bytes.empty() || bytes.size() % sizeof(capnp::word) != 0) return std::nullopt;
+  // The reader needs the words aligned.
   auto words = kj::heapArray<capnp::word>(bytes.size() / sizeof(capnp::word));
   std::memcpy(words.begin(), bytes.data(), bytes.size());
-  bool ok = true;
-  auto failed = kj::runCatchingExceptions([&] {
+  std::optional<PeerFrame> frame;
+  auto failure = kj::runCatchingExceptions([&] {
     capnp::FlatArrayMessageReader reader(words);
-    Read(reader.getRoot<mesh::Frame>(), frame);
+    frame = ReadFrame(reader.getRoot<mesh::Frame>());
   });
-  KJ_IF_MAYBE (e, failed) {
-    (void)e;
-    ok = false;
+  KJ_IF_MAYBE (error, failure) {
+    (void)error;
+    return std::nullopt;
   }
-  return ok;
+  return frame;
+}
+
+bool DecodeFrame(std::string_view bytes, PeerFrame* frame) {
+  std::optional<PeerFrame> decoded = DecodeFrame(bytes);
+  if (!decoded) return false;
+  *frame = std::move(*decoded);
+  return true;
 }
 
 }  // namespace deckhall
--- a/tests/golden_wire_test.cc
+++ b/tests/golden_wire_test.cc
@@ -374,8 +374,9 @@
     R"("muelles":["east","west"]},{"name":"box","cores":8,"memory_gb":64,"hourly":1.5}]})";
 
 TEST(GoldenCloudWire, MachineTypesAreReadIntoEveryField) {
-  std::vector<MachineType> types;
-  ASSERT_TRUE(DecodeTypes(kTypes, &types));
+  const auto decoded = DecodeTypes(kTypes);
+  ASSERT_TRUE(decoded.has_value());
+  const std::vector<MachineType>& types = *decoded;
   ASSERT_EQ(types.size(), 2U);
   EXPECT_EQ(types[0].name, "big");
   EXPECT_EQ(types[0].cores, 64);
@@ -390,8 +391,9 @@
 }
 
 TEST(GoldenCloudWire, AMinimalMachineTypeIsReadWithDefaults) {
-  std::vector<MachineType> types;
-  ASSERT_TRUE(DecodeTypes(kTypes, &types));
+  const auto decoded = DecodeTypes(kTypes);
+  ASSERT_TRUE(decoded.has_value());
+  const std::vector<MachineType>& types = *decoded;
   ASSERT_EQ(types.size(), 2U);
   EXPECT_EQ(types[1].name, "box");
   EXPECT_EQ(types[1].cores, 8);
@@ -406,15 +408,14 @@
 }
 
 TEST(GoldenCloudWire, AMachineListIsReadIntoEveryField) {
-  std::vector<CloudInstance> machines;
-  bool truncated = false;
-  ASSERT_TRUE(DecodeInstanceList(
+  const auto page = DecodeInstanceList(
       R"({"cubiertas":[{"name_id":"m-1","endpoint":"10.0.0.1:7000","casco":"box",)"
       R"("muelle":"east","prestados":true,"estado":"running","age_s":12.5},)"
       R"({"name_id":"m-2","estado":"failed"},{"name_id":"m-3","estado":"starting"}],)"
-      R"("truncated":true})",
-      &machines, &truncated));
-  EXPECT_TRUE(truncated);
+      R"("truncated":true})");
+  ASSERT_TRUE(page.has_value());
+  EXPECT_TRUE(page->truncated);
+  const std::vector<CloudInstance>& machines = page->instances;
   ASSERT_EQ(machines.size(), 3U);
   EXPECT_EQ(machines[0].name, "m-1");
   EXPECT_EQ(machines[0].endpoint, "10.0.0.1:7000");
@@ -431,17 +432,16 @@
 }
 
 TEST(GoldenCloudWire, AnEmptyMachineListIsRead) {
-  std::vector<CloudInstance> machines;
-  bool truncated = true;
-  ASSERT_TRUE(DecodeInstanceList(R"({"cubiertas":[]})", &machines, &truncated));
-  EXPECT_FALSE(truncated);
-  EXPECT_TRUE(machines.empty());
+  const auto page = DecodeInstanceList(R"({"cubiertas":[]})");
+  ASSERT_TRUE(page.has_value());
+  EXPECT_FALSE(page->truncated);
+  EXPECT_TRUE(page->instances.empty());
 }
 
 TEST(GoldenCloudWire, RentedMachinesAreRead) {
-  std::vector<std::string> machines;
-  ASSERT_TRUE(DecodeScaleOutResponse(R"({"cubiertas":["m-1","m-2"]})", &machines));
-  EXPECT_EQ(machines, (std::vector<std::string>{"m-1", "m-2"}));
+  const auto machines = DecodeScaleOutResponse(R"({"cubiertas":["m-1","m-2"]})");
+  ASSERT_TRUE(machines.has_value());
+  EXPECT_EQ(*machines, (std::vector<std::string>{"m-1", "m-2"}));
 }
 
 TEST(GoldenCloudWire, RequestsAreEncodedAsEver) {
@@ -475,24 +475,21 @@
 }
 
 TEST(GoldenStateWire, ARowIsReadIntoEveryField) {
-  KeyValue row;
-  ASSERT_TRUE(
-      DecodeKeyValue(R"({"key":"a/b","huella":9007199254740993,"data":[{"c":1.50}]})", &row));
-  EXPECT_EQ(row.key, "a/b");
-  EXPECT_EQ(row.version, kLargeNumber);
-  EXPECT_EQ(row.value, R"([{"c":1.5}])");
+  const auto row = DecodeKeyValue(R"({"key":"a/b","huella":9007199254740993,"data":[{"c":1.50}]})");
+  ASSERT_TRUE(row.has_value());
+  EXPECT_EQ(row->key, "a/b");
+  EXPECT_EQ(row->version, kLargeNumber);
+  EXPECT_EQ(row->value, R"([{"c":1.5}])");
 }
 
 TEST(GoldenStateWire, RowsAreReadIntoEveryField) {
-  std::vector<KeyValue> rows;
-  bool truncated = false;
-  uint64_t revision = 0;
-  ASSERT_TRUE(DecodeKeyValues(
+  const auto page = DecodeKeyValues(
       R"({"rows":[{"key":"a","huella":1,"data":{}},{"key":"b","huella":2,"data":"x"}],)"
-      R"("truncated":true,"marea":77})",
-      &rows, &truncated, &revision));
-  EXPECT_TRUE(truncated);
-  EXPECT_EQ(revision, 77U);
+      R"("truncated":true,"marea":77})");
+  ASSERT_TRUE(page.has_value());
+  EXPECT_TRUE(page->truncated);
+  EXPECT_EQ(page->revision, 77U);
+  const std::vector<KeyValue>& rows = page->entries;
   ASSERT_EQ(rows.size(), 2U);
   EXPECT_EQ(rows[0].key, "a");
   EXPECT_EQ(rows[0].version, 1U);
@@ -503,13 +500,9 @@
 }
 
 TEST(GoldenStateWire, ARevisionAndALeaseAreRead) {
-  uint64_t revision = 0;
-  ASSERT_TRUE(DecodeRevision(R"({"marea":9007199254740993})", &revision));
-  EXPECT_EQ(revision, kLargeNumber);
-  uint64_t lease = 0;
-  ASSERT_TRUE(DecodeLeaseGrant(R"({"amarre":12})", &lease));
-  EXPECT_EQ(lease, 12U);
-  EXPECT_FALSE(DecodeLeaseGrant(R"({"amarre":0})", &lease));
+  EXPECT_EQ(DecodeRevision(R"({"marea":9007199254740993})"), kLargeNumber);
+  EXPECT_EQ(DecodeLeaseGrant(R"({"amarre":12})"), 12U);
+  EXPECT_FALSE(DecodeLeaseGrant(R"({"amarre":0})").has_value());
 }
 
 std::string ToHex(const std::string& bytes) {
@@ -538,9 +531,9 @@
 
 // Reads a frame from its literal bytes, whose length goes first.
 PeerFrame DecodedFrame(const std::string& hex) {
-  PeerFrame frame;
-  EXPECT_TRUE(DecodeFrame(FromHex(hex).substr(kLengthBytes), &frame));
-  return frame;
+  const auto frame = DecodeFrame(FromHex(hex).substr(kLengthBytes));
+  EXPECT_TRUE(frame.has_value());
+  return frame.value_or(PeerFrame());
 }
 
 PeerFrame Addressed() {
--- a/tests/wire_test.cc
+++ b/tests/wire_test.cc
@@ -178,16 +178,15 @@
   frame.body = ask;
   std::string bytes;
   EncodeFrame(frame, &bytes);
-  PeerFrame out;
-  ASSERT_TRUE(DecodeFrame(std::string_view(bytes).substr(4), &out));
-  EXPECT_EQ(std::get<JobRequest>(out.body).job.allowed_types, ask.job.allowed_types);
-  EXPECT_FALSE(DecodeFrame("", &out));
-  EXPECT_FALSE(DecodeFrame("1234567", &out));
+  const auto out = DecodeFrame(std::string_view(bytes).substr(4));
+  ASSERT_TRUE(out.has_value());
+  EXPECT_EQ(std::get<JobRequest>(out->body).job.allowed_types, ask.job.allowed_types);
+  EXPECT_FALSE(DecodeFrame("").has_value());
+  EXPECT_FALSE(DecodeFrame("1234567").has_value());
   for (size_t i = 0; i + 4 < bytes.size(); ++i) {
     std::string noise = bytes.substr(4);
     noise[i] = static_cast<char>(noise[i] ^ 0xff);
-    PeerFrame any;
-    (void)DecodeFrame(noise, &any);  // must not crash
+    (void)DecodeFrame(noise);  // must not crash
   }
 }
 
