--- a/src/state/conflict_resolver.h
+++ b/src/state/conflict_resolver.h
@@ -17,7 +17,7 @@
 
 // How the resolution of a conflict ended.
 enum class ConflictOutcome {
-  kVersionsRead,          // versions were read again, as far as the state service answered
+  kVersionsRead,          // versions were read again, as far as the state service responded
   kLeaderKeyUnavailable,  // whether the term stands is not known; nothing was read
   kLeadershipLost,        // the leader key changed: the term is over
 };
--- a/src/state/key_value_client.cc
+++ b/src/state/key_value_client.cc
@@ -3,72 +3,99 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <utility>
 
 namespace deckhall {
 namespace {
 
 constexpr double kTimeout = 2.0;
-constexpr double kMinCommitTimeoutSeconds = 0.4;
+// A commit is given up after this multiple of the average duration, but not earlier than this.
 constexpr double kSlowCommitFactor = 4;
+constexpr double kMinCommitTimeoutSeconds = 0.4;
+// Weight of the latest commit in the average duration.
 constexpr double kCommitSmoothing = 0.1;
 constexpr size_t kMaxResponseBytes = 4 << 20;
+constexpr size_t kMaxConnections = 16;
+// The controllers share the limits; the leader needs most of them. Shares of the limits that one
+// controller uses, for the rate and for the burst.
+constexpr double kRequestRateShare = 0.7;
+constexpr double kRequestBurstShare = 0.6;
+constexpr double kMinRequestBurst = 4.0;
+constexpr double kWriteRateShare = 0.85;
+// Overdraft of request tokens for renewing a lease, as a share of the limit: leadership depends
+// on it.
+constexpr double kKeepAliveOverdraftShare = 0.1;
+constexpr double kRefusalDelaySeconds = 0.02;
+
+constexpr int kHttpTooManyRequests = 429;
+constexpr int kHttpServiceUnavailable = 503;
 
 }  // namespace
 
-// The three controllers share the limits; the one that leads needs most of them.
-KeyValueClient::KeyValueClient(Loop* loop, const Clock* clock, Endpoint at, double rps,
+KeyValueClient::KeyValueClient(Loop* loop, const Clock* clock, Endpoint endpoint, double rps,
                                double write_rps)
     : clock_(clock),
-      endpoint_(std::move(at)),
-      requests_(rps * 0.7, std::max(4.0, rps * 0.6)),
-      writes_(write_rps * 0.85, WriteBurst(write_rps)),
+      endpoint_(std::move(endpoint)),
+      requests_(rps * kRequestRateShare, std::max(kMinRequestBurst, rps * kRequestBurstShare)),
+      writes_(write_rps * kWriteRateShare, WriteBurst(write_rps)),
       rps_(rps),
-      http_(loop, 16, kMaxResponseBytes),
-      refusal_timer_(loop, [this] {
-        for (Done& done : std::exchange(refused_calls_, {})) {
-          KeyValueResponse response;
-          response.status = KeyValueStatus::kUnavailable;
-          done(response);
-        }
-      }) {}
+      http_(loop, kMaxConnections, kMaxResponseBytes),
+      refusal_timer_(loop, [this] { CompleteRefusedCalls(); }) {}
+
+void KeyValueClient::RefuseLater(Done done) {
+  refused_calls_.push_back(std::move(done));
+  if (!refusal_timer_.active()) refusal_timer_.Start(kRefusalDelaySeconds);
+}
+
+void KeyValueClient::CompleteRefusedCalls() {
+  for (Done& done : std::exchange(refused_calls_, {})) {
+    KeyValueResponse response;
+    response.status = KeyValueStatus::kUnavailable;
+    done(response);
+  }
+}
 
 void KeyValueClient::Send(const HttpCall& call, double reserve, Reader reader, Done done) {
   if (!requests_.Take(clock_->Now(), 1, reserve)) {
-    refused_calls_.push_back(std::move(done));
-    if (!refusal_timer_.active()) refusal_timer_.Start(0.02);
+    RefuseLater(std::move(done));
     return;
   }
-  const std::string what = call.method + " " + call.path;
-  http_.Call(
-      endpoint_, call,
-      [this, what, reader = std::move(reader), done = std::move(done)](const HttpResult& result) {
-        KeyValueResponse response;
-        if (result.status == 0) {
-          response.status =
-              result.sent ? KeyValueStatus::kIndeterminate : KeyValueStatus::kUnavailable;
-        } else if (result.status == 429 || result.status == 503) {
-          response.status = KeyValueStatus::kUnavailable;
-          if (result.status == 429) requests_.Drain();
-        } else {
-          reader(result, &response);
-          if (response.status == KeyValueStatus::kIndeterminate) {
-            spdlog::warn("state service: unusable answer {} to {}", result.status, what);
-          }
-        }
-        done(std::move(response));
-      });
+  http_.Call(endpoint_, call,
+             [this, request = call.method + " " + call.path, reader = std::move(reader),
+              done = std::move(done)](const HttpResult& result) {
+               done(ReadResult(result, request, reader));
+             });
+}
+
+KeyValueResponse KeyValueClient::ReadResult(const HttpResult& result, const std::string& request,
+                                            const Reader& reader) {
+  KeyValueResponse response;
+  if (result.status == 0) {
+    response.status = result.sent ? KeyValueStatus::kIndeterminate : KeyValueStatus::kUnavailable;
+    return response;
+  }
+  if (result.status == kHttpTooManyRequests || result.status == kHttpServiceUnavailable) {
+    response.status = KeyValueStatus::kUnavailable;
+    if (result.status == kHttpTooManyRequests) requests_.Drain();
+    return response;
+  }
+  reader(result, &response);
+  if (response.status == KeyValueStatus::kIndeterminate) {
+    spdlog::warn("request=\"{}\" status={}: unusable response from the state service", request,
+                 result.status);
+  }
+  return response;
 }
 
 void KeyValueClient::Commit(const Transaction& transaction, Done done) {
   const double puts = static_cast<double>(transaction.mutations.size());
-  // Bigger than the burst: waits until the bucket is full, then goes in debt.
+  // Overdraws the bucket: a transaction of more puts than the burst could never be sent.
   if (!writes_.Take(clock_->Now(), puts, -puts)) {
-    refused_calls_.push_back(std::move(done));
-    if (!refusal_timer_.active()) refusal_timer_.Start(0.02);
+    RefuseLater(std::move(done));
     return;
   }
-  // One that takes far longer than most is given up: written again under the same
-  // versions, it is sooner known to be durable.
+  // A commit that takes far longer than most is given up: sent again under the same versions,
+  // it is sooner known to be durable.
   const double timeout =
       std::clamp(kSlowCommitFactor * smoothed_commit_s_, kMinCommitTimeoutSeconds, kTimeout);
   const double sent = clock_->Now();
@@ -132,7 +159,8 @@
 
 void KeyValueClient::KeepAliveLease(uint64_t lease, double timeout_s, Done done) {
   Send(
-      {"POST", "/grants/" + std::to_string(lease) + "/extend", "{}", timeout_s}, -rps_ * 0.1,
+      {"POST", "/grants/" + std::to_string(lease) + "/extend", "{}", timeout_s},
+      -rps_ * kKeepAliveOverdraftShare,
       [](const HttpResult& result, KeyValueResponse* response) {
         if (result.status == 200) response->status = KeyValueStatus::kOk;
         if (result.status == 404) response->status = KeyValueStatus::kConflict;
--- a/src/state/key_value_client.h
+++ b/src/state/key_value_client.h
@@ -1,4 +1,12 @@
-// The state service over HTTP, within its rate limits.
+// The state service over HTTP, within its rate limits (PROTOCOL, "Controller nodes -> state
+// service").
+//
+// Guarantees: two token buckets, of requests and of puts, keep this node below the limits of the
+// state service; a request beyond them is refused here as kUnavailable. Requests of higher
+// importance may take tokens that others have to leave.
+//
+// Invariant: `done` is never called from within the call itself. One thread, that of the event
+// loop. Owned by the process.
 #pragma once
 
 #include <algorithm>
@@ -11,12 +19,19 @@
 
 namespace deckhall {
 
-// Puts that may go out at once, of a limit for each second.
-inline double WriteBurst(double write_rps) { return std::max(2.0, write_rps * 0.8); }
+// The burst of the write token bucket, in puts, for a limit of `write_rps` puts per second: less
+// than the second's worth that the state service allows, as the controllers share the limit.
+inline double WriteBurst(double write_rps) {
+  constexpr double kMinWriteBurst = 2.0;
+  constexpr double kWriteBurstShare = 0.8;
+  return std::max(kMinWriteBurst, write_rps * kWriteBurstShare);
+}
 
 class KeyValueClient : public KeyValueStore {
  public:
-  KeyValueClient(Loop* loop, const Clock* clock, Endpoint at, double rps, double write_rps);
+  // `rps` and `write_rps` are the limits of the state service for all controllers together, in
+  // requests and in puts per second.
+  KeyValueClient(Loop* loop, const Clock* clock, Endpoint endpoint, double rps, double write_rps);
 
   void Commit(const Transaction& transaction, Done done) override;
   void Get(const std::string& key, Done done) override;
@@ -28,14 +43,21 @@
   double AvailableWriteTokens() override;
 
  private:
+  // Reads the result of a request that was executed or rejected into the response.
   using Reader = std::function<void(const HttpResult&, KeyValueResponse*)>;
+  // Sends a request if that leaves `reserve` request tokens; a negative reserve is an overdraft.
   void Send(const HttpCall& call, double reserve, Reader reader, Done done);
+  KeyValueResponse ReadResult(const HttpResult& result, const std::string& request,
+                              const Reader& reader);
+  // Responds kUnavailable to a request beyond a rate limit, from the event loop.
+  void RefuseLater(Done done);
+  void CompleteRefusedCalls();
 
   const Clock* clock_;
   Endpoint endpoint_;
   TokenBucket requests_;
   TokenBucket writes_;
-  double smoothed_commit_s_ = 0.05;  // what a transaction takes, smoothed
+  double smoothed_commit_s_ = 0.05;  // moving average of the duration of a commit
   double rps_;
   HttpClient http_;
   Timer refusal_timer_;
--- a/src/state/record_pages.h
+++ b/src/state/record_pages.h
@@ -16,7 +16,7 @@
 
 namespace deckhall {
 
-// One JSON text and where it stands on its way to the state service. A record that changes
+// One JSON text, and how far it has been written to the state service. A record that changes
 // while a transaction with its former text is in flight is both dirty and in flight.
 struct StoredRecord {
   std::string text;
