--- a/src/api/http_api.cc
+++ b/src/api/http_api.cc
@@ -5,7 +5,7 @@
 #include <optional>
 #include <utility>
 
-#include "api/http_status.h"
+#include "net/http_status.h"
 #include "wire/job_codec.h"
 #include "wire/worker_codec.h"
 
--- a/src/api/submission_statistics.cc
+++ b/src/api/submission_statistics.cc
@@ -2,7 +2,7 @@
 
 #include <spdlog/spdlog.h>
 
-#include "api/http_status.h"
+#include "net/http_status.h"
 
 namespace deckhall {
 namespace {
--- a/src/app/controller.cc
+++ b/src/app/controller.cc
@@ -5,7 +5,7 @@
 #include <utility>
 #include <variant>
 
-#include "api/http_status.h"
+#include "net/http_status.h"
 
 namespace deckhall {
 namespace {
--- a/src/api/http_status.h
+++ b/src/net/http_status.h
@@ -1,15 +1,18 @@
-// The HTTP status codes that controllers send. Source: PROTOCOL, the tables of statuses under
-// "Users -> controller nodes" and "Workers -> controller nodes".
+// The HTTP status codes of the protocols of users, workers, cloud and state service (PROTOCOL).
 #pragma once
 
 namespace deckhall::http_status {
 
 constexpr int kOk = 200;
 constexpr int kCreated = 201;  // the job is accepted
+constexpr int kNoContent = 204;
 constexpr int kBadRequest = 400;
 constexpr int kNotFound = 404;
 constexpr int kMethodNotAllowed = 405;
+constexpr int kConflict = 409;
+constexpr int kGone = 410;                // the revisions to watch from are not kept any more
 constexpr int kMisdirectedRequest = 421;  // the worker reports to another controller
+constexpr int kTooManyRequests = 429;
 constexpr int kServiceUnavailable = 503;
 
 // The first status that is no success.
--- a/src/state/key_value_client.cc
+++ b/src/state/key_value_client.cc
@@ -6,14 +6,35 @@
 #include <optional>
 #include <utility>
 
+#include "net/http_status.h"
+
 namespace deckhall {
 namespace {
 
-constexpr double kTimeout = 2.0;
-constexpr double kMinCommitTimeoutSeconds = 0.4;
+constexpr double kRequestTimeoutSeconds = 2.0;
+// A commit is given up after this multiple of the average duration, but not earlier than this.
 constexpr double kSlowCommitFactor = 4;
+constexpr double kMinCommitTimeoutSeconds = 0.4;
+// Weight of the latest commit in the average duration.
 constexpr double kCommitSmoothing = 0.1;
 constexpr size_t kMaxResponseBytes = 4 << 20;
+constexpr size_t kMaxConnections = 16;
+// The controllers share the limits; the leader needs most of them. Shares of the limits that one
+// controller uses, for the rate and for the burst.
+constexpr double kRequestRateShare = 0.7;
+constexpr double kRequestBurstShare = 0.6;
+constexpr double kMinRequestBurst = 4.0;
+constexpr double kWriteRateShare = 0.85;
+// Overdraft of request tokens for renewing a lease, as a share of the limit: leadership depends
+// on it.
+constexpr double kKeepAliveOverdraftShare = 0.1;
+constexpr double kRefusalDelaySeconds = 0.02;
+
+// Request tokens that a call leaves for more important ones.
+constexpr double kOrdinaryReserve = 2;
+constexpr double kLeaseReserve = 1;
+// A watch is given up so long after the state service should have responded.
+constexpr double kWatchMarginSeconds = 3;
 
 // The response is good when there is a number: a revision, or a lease.
 void SetNumber(std::optional<uint64_t> number, KeyValueResponse* response) {
@@ -24,71 +45,83 @@
 
 }  // namespace
 
-// The three controllers share the limits; the one that leads needs most of them.
-KeyValueClient::KeyValueClient(Loop* loop, const Clock* clock, Endpoint at, double rps,
+KeyValueClient::KeyValueClient(Loop* loop, const Clock* clock, Endpoint endpoint, double rps,
                                double write_rps)
     : clock_(clock),
-      endpoint_(std::move(at)),
-      requests_(rps * 0.7, std::max(4.0, rps * 0.6)),
-      writes_(write_rps * 0.85, WriteBurst(write_rps)),
+      endpoint_(std::move(endpoint)),
+      requests_(rps * kRequestRateShare, std::max(kMinRequestBurst, rps * kRequestBurstShare)),
+      writes_(write_rps * kWriteRateShare, WriteBurst(write_rps)),
       rps_(rps),
-      http_(loop, 16, kMaxResponseBytes),
-      refusal_timer_(loop, [this] {
-        for (Done& done : std::exchange(refused_calls_, {})) {
-          KeyValueResponse response;
-          response.status = KeyValueStatus::kUnavailable;
-          done(response);
-        }
-      }) {}
+      http_(loop, kMaxConnections, kMaxResponseBytes),
+      refusal_timer_(loop, [this] { CompleteRefusedCalls(); }) {}
+
+void KeyValueClient::RefuseLater(Done done) {
+  refused_calls_.push_back(std::move(done));
+  if (!refusal_timer_.active()) refusal_timer_.Start(kRefusalDelaySeconds);
+}
+
+void KeyValueClient::CompleteRefusedCalls() {
+  for (Done& done : std::exchange(refused_calls_, {})) {
+    KeyValueResponse response;
+    response.status = KeyValueStatus::kUnavailable;
+    done(response);
+  }
+}
 
 void KeyValueClient::Send(const HttpCall& call, double reserve, Reader reader, Done done) {
   if (!requests_.Take(clock_->Now(), 1, reserve)) {
-    refused_calls_.push_back(std::move(done));
-    if (!refusal_timer_.active()) refusal_timer_.Start(0.02);
+    RefuseLater(std::move(done));
     return;
   }
-  const std::string what = call.method + " " + call.path;
-  http_.Call(
-      endpoint_, call,
-      [this, what, reader = std::move(reader), done = std::move(done)](const HttpResult& result) {
-        KeyValueResponse response;
-        if (result.status == 0) {
-          response.status =
-              result.sent ? KeyValueStatus::kIndeterminate : KeyValueStatus::kUnavailable;
-        } else if (result.status == 429 || result.status == 503) {
-          response.status = KeyValueStatus::kUnavailable;
-          if (result.status == 429) requests_.Drain();
-        } else {
-          reader(result, &response);
-          if (response.status == KeyValueStatus::kIndeterminate) {
-            spdlog::warn("state service: unusable answer {} to {}", result.status, what);
-          }
-        }
-        done(std::move(response));
-      });
+  http_.Call(endpoint_, call,
+             [this, request = call.method + " " + call.path, reader = std::move(reader),
+              done = std::move(done)](const HttpResult& result) {
+               done(ReadResult(result, request, reader));
+             });
+}
+
+KeyValueResponse KeyValueClient::ReadResult(const HttpResult& result, const std::string& request,
+                                            const Reader& reader) {
+  KeyValueResponse response;
+  if (result.status == 0) {
+    response.status = result.sent ? KeyValueStatus::kIndeterminate : KeyValueStatus::kUnavailable;
+    return response;
+  }
+  if (result.status == http_status::kTooManyRequests ||
+      result.status == http_status::kServiceUnavailable) {
+    response.status = KeyValueStatus::kUnavailable;
+    if (result.status == http_status::kTooManyRequests) requests_.Drain();
+    return response;
+  }
+  reader(result, &response);
+  if (response.status == KeyValueStatus::kIndeterminate) {
+    spdlog::warn("request=\"{}\" status={}: unusable response from the state service", request,
+                 result.status);
+  }
+  return response;
 }
 
 void KeyValueClient::Commit(const Transaction& transaction, Done done) {
   const double puts = static_cast<double>(transaction.mutations.size());
-  // Bigger than the burst: waits until the bucket is full, then goes in debt.
+  // Overdraws the bucket: a transaction of more puts than the burst could never be sent.
   if (!writes_.Take(clock_->Now(), puts, -puts)) {
-    refused_calls_.push_back(std::move(done));
-    if (!refusal_timer_.active()) refusal_timer_.Start(0.02);
+    RefuseLater(std::move(done));
     return;
   }
-  // One that takes far longer than most is given up: written again under the same
-  // versions, it is sooner known to be durable.
-  const double timeout =
-      std::clamp(kSlowCommitFactor * smoothed_commit_s_, kMinCommitTimeoutSeconds, kTimeout);
+  // A commit that takes far longer than most is given up: sent again under the same versions,
+  // it is sooner known to be durable.
+  const double timeout = std::clamp(kSlowCommitFactor * smoothed_commit_s_,
+                                    kMinCommitTimeoutSeconds, kRequestTimeoutSeconds);
   const double sent = clock_->Now();
   Send(
-      {"POST", "/txn", EncodeTransaction(transaction), timeout}, 2,
+      {"POST", "/txn", EncodeTransaction(transaction), timeout}, kOrdinaryReserve,
       [](const HttpResult& result, KeyValueResponse* response) {
-        if (result.status == 200) SetNumber(DecodeRevision(result.body), response);
-        if (result.status == 409) response->status = KeyValueStatus::kConflict;
-        if (result.status == 400) response->status = KeyValueStatus::kInvalid;
-        if (result.status == 400)
-          spdlog::warn("state service refuses a transaction: {}", result.body);
+        if (result.status == http_status::kOk) SetNumber(DecodeRevision(result.body), response);
+        if (result.status == http_status::kConflict) response->status = KeyValueStatus::kConflict;
+        if (result.status == http_status::kBadRequest) {
+          response->status = KeyValueStatus::kInvalid;
+          spdlog::warn("transaction rejected by the state service: {}", result.body);
+        }
       },
       [this, sent, done = std::move(done)](const KeyValueResponse& response) {
         if (response.status != KeyValueStatus::kUnavailable) {
@@ -100,10 +133,11 @@
 
 void KeyValueClient::Get(const std::string& key, Done done) {
   Send(
-      {"GET", "/kv/" + key, "", kTimeout}, 2,
+      {"GET", "/kv/" + key, "", kRequestTimeoutSeconds}, kOrdinaryReserve,
       [](const HttpResult& result, KeyValueResponse* response) {
-        if (result.status == 404) SetNumber(DecodeRevision(result.body), response);
-        if (result.status != 200) return;
+        if (result.status == http_status::kNotFound)
+          SetNumber(DecodeRevision(result.body), response);
+        if (result.status != http_status::kOk) return;
         std::optional<KeyValue> entry = DecodeKeyValue(result.body);
         if (!entry) return;
         response->status = KeyValueStatus::kOk;
@@ -117,9 +151,9 @@
   std::string path = "/kv?starts=" + prefix + "&page=200";
   if (!after.empty()) path += "&from=" + after;
   Send(
-      {"GET", path, "", kTimeout}, 2,
+      {"GET", path, "", kRequestTimeoutSeconds}, kOrdinaryReserve,
       [](const HttpResult& result, KeyValueResponse* response) {
-        if (result.status != 200) return;
+        if (result.status != http_status::kOk) return;
         std::optional<KeyValuePage> page = DecodeKeyValues(result.body);
         if (!page) return;
         response->status = KeyValueStatus::kOk;
@@ -132,29 +166,31 @@
 
 void KeyValueClient::GrantLease(int ttl_ms, Done done) {
   Send(
-      {"POST", "/grants", EncodeLeaseGrant(ttl_ms), kTimeout}, 1,
+      {"POST", "/grants", EncodeLeaseGrant(ttl_ms), kRequestTimeoutSeconds}, kLeaseReserve,
       [](const HttpResult& result, KeyValueResponse* response) {
-        if (result.status == 200) SetNumber(DecodeLeaseGrant(result.body), response);
+        if (result.status == http_status::kOk) SetNumber(DecodeLeaseGrant(result.body), response);
       },
       std::move(done));
 }
 
 void KeyValueClient::KeepAliveLease(uint64_t lease, double timeout_s, Done done) {
   Send(
-      {"POST", "/grants/" + std::to_string(lease) + "/extend", "{}", timeout_s}, -rps_ * 0.1,
+      {"POST", "/grants/" + std::to_string(lease) + "/extend", "{}", timeout_s},
+      -rps_ * kKeepAliveOverdraftShare,
       [](const HttpResult& result, KeyValueResponse* response) {
-        if (result.status == 200) response->status = KeyValueStatus::kOk;
-        if (result.status == 404) response->status = KeyValueStatus::kConflict;
+        if (result.status == http_status::kOk) response->status = KeyValueStatus::kOk;
+        if (result.status == http_status::kNotFound) response->status = KeyValueStatus::kConflict;
       },
       std::move(done));
 }
 
 void KeyValueClient::RevokeLease(uint64_t lease, Done done) {
   Send(
-      {"DELETE", "/grants/" + std::to_string(lease), "", kTimeout}, 1,
+      {"DELETE", "/grants/" + std::to_string(lease), "", kRequestTimeoutSeconds}, kLeaseReserve,
       [](const HttpResult& result, KeyValueResponse* response) {
-        if (result.status == 200 || result.status == 204) response->status = KeyValueStatus::kOk;
-        if (result.status == 404) response->status = KeyValueStatus::kConflict;
+        if (result.status == http_status::kOk || result.status == http_status::kNoContent)
+          response->status = KeyValueStatus::kOk;
+        if (result.status == http_status::kNotFound) response->status = KeyValueStatus::kConflict;
       },
       std::move(done));
 }
@@ -163,10 +199,10 @@
   const std::string path = "/follow?starts=" + prefix + "&from=" + std::to_string(after) +
                            "&hold_ms=" + std::to_string(hold_ms);
   Send(
-      {"GET", path, "", hold_ms / 1000.0 + 3}, 2,
+      {"GET", path, "", hold_ms / 1000.0 + kWatchMarginSeconds}, kOrdinaryReserve,
       [](const HttpResult& result, KeyValueResponse* response) {
-        if (result.status == 200) SetNumber(DecodeRevision(result.body), response);
-        if (result.status == 410) response->status = KeyValueStatus::kConflict;
+        if (result.status == http_status::kOk) SetNumber(DecodeRevision(result.body), response);
+        if (result.status == http_status::kGone) response->status = KeyValueStatus::kConflict;
       },
       std::move(done));
 }
