--- a/src/cloud/provisioner.cc
+++ b/src/cloud/provisioner.cc
@@ -212,8 +212,8 @@
   intent->zone = job_store_->zones[pool.zone];
   intent->spot = pool.spot;
   intent->count = count;
-  spdlog::info("renting {} {}{} in {} ({}): {}", intent->count, intent->type,
-               pool.spot ? " (spot)" : "", intent->zone, intent->request_id, why);
+  spdlog::info("machines={} type={}{} zone={} request={}: scale-out requested: {}", intent->count,
+               intent->type, pool.spot ? " (spot)" : "", intent->zone, intent->request_id, why);
   const std::string text = EncodeRequest(*intent);
   intent->record_id = record_store_->Add(text, text.size(), WritePriority::kImmediate);
   requests_.push_back(std::move(intent));
@@ -246,8 +246,9 @@
       pool->backoff_s =
           std::clamp(pool->backoff_s * 2, options_.min_backoff_s, options_.max_backoff_s);
       pool->backoff_until = now + pool->backoff_s;
-      spdlog::info("{} {}{}: {} of {} to be had, not asked again for {} s", intent.zone,
-                   intent.type, intent.spot ? " (spot)" : "", got, intent.count, pool->backoff_s);
+      spdlog::info("zone={} type={}{} granted={} requested={} backoff_s={}: out of capacity",
+                   intent.zone, intent.type, intent.spot ? " (spot)" : "", got, intent.count,
+                   pool->backoff_s);
     } else {
       pool->backoff_s = 0;
     }
@@ -308,8 +309,8 @@
   machine.spot = heartbeat.spot;
   machine.endpoint = heartbeat.endpoint;
   machine.provisioned_at_wall = clock_->Wall();
-  spdlog::info("machine {} ({} in {}{}) reports and was not expected", heartbeat.machine,
-               heartbeat.type, heartbeat.zone, heartbeat.spot ? ", spot" : "");
+  spdlog::info("machine={} type={} zone={}{}: heartbeat of an unexpected machine",
+               heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot ? " (spot)" : "");
   return machine_index;
 }
 
@@ -318,7 +319,7 @@
   if (machine.scaling_in || machine.removed) return;
   machine.scaling_in = machine.unschedulable = true;
   next_scale_in_at_ = std::min(next_scale_in_at_, clock_->Now());
-  spdlog::info("returning machine {}: {}", machine.name, why);
+  spdlog::info("machine={}: scale-in: {}", machine.name, why);
 }
 
 void Provisioner::SendScaleIn() {
@@ -406,7 +407,7 @@
       machine.endpoint = "";
       machine.registered = true;
       SaveMachine(machine_index, WritePriority::kBackground);
-      spdlog::info("machine {} ({} in {}) is listed and was not expected: used", row.name, row.type,
+      spdlog::info("machine={} type={} zone={}: unexpected instance adopted", row.name, row.type,
                    row.zone);
       continue;
     }
--- a/src/drain/eviction_controller.cc
+++ b/src/drain/eviction_controller.cc
@@ -66,7 +66,7 @@
       } else {
         drain.progress.drain = order.name;
         drain.progress.since_wall = clock_->Wall();
-        spdlog::info("drain {} begins", order.name);
+        spdlog::info("drain={}: started", order.name);
       }
       since.push_back(drain.progress.since_wall);
     }
@@ -110,7 +110,7 @@
   if (!confirmed_) return;
   // What is left of drains that were withdrawn.
   for (const auto& [name, before] : std::exchange(loaded_, {})) {
-    spdlog::info("drain {} is withdrawn", name);
+    spdlog::info("drain={}: withdrawn", name);
     if (before.first != kNoRecord) record_store_->Remove(before.first);
   }
 }
@@ -302,8 +302,8 @@
     drain->blocked = wait;
     return false;
   }
-  spdlog::info("drain {}: past its deadline, stopping {} on {}", drain->order->name,
-               attempt->task_name, (*fleet_)[machine_index].name);
+  spdlog::info("drain={} task={} machine={}: array task stopped, past the deadline",
+               drain->order->name, attempt->task_name, (*fleet_)[machine_index].name);
   drain->progress.tasks_stopped += count;
   if (job.spec.gang) {
     gangs_->StopGang(attempt->job, "a drain is past its deadline");
@@ -336,7 +336,7 @@
     drain->blocked = {BlockedReason::kReplacing, std::to_string(progress.replicas_moving)};
   }
   if (progress.state == DrainState::kDone && !was_done) {
-    spdlog::info("drain {} is done: {} machines, {} replicas moved", progress.drain,
+    spdlog::info("drain={} machines={} replicas_moved={}: done", progress.drain,
                  progress.machines_done, progress.replicas_moved);
     next_write_ = 0;
   }
--- a/src/drain/eviction_steps.cc
+++ b/src/drain/eviction_steps.cc
@@ -75,7 +75,7 @@
   const TaskAttempt* attempt = FindEvictedAttempt(*eviction);
   if (attempt != nullptr && !attempt->released && attempt->wanted) {
     // The stop never came, nor can it any more: the machine has shown this term's token.
-    spdlog::info("{} still runs on {}: the step of the leader before was not carried out",
+    spdlog::info("task={} machine={}: eviction of the former leader was not carried out",
                  attempt->task_name, (*fleet_)[eviction->from].name);
     return false;
   }
@@ -98,8 +98,9 @@
   // Since the choice machines may have been lost, the budget lowered, or the place taken.
   if (!InForce(eviction->drain) || ledger_->BudgetViolation(eviction->job)) return false;
   if (!free_capacity_->Current(eviction->replacement_machine).usable) return false;
-  spdlog::info("drain {}: moving {} off {}, to {}", eviction->drain, attempt->task_name,
-               (*fleet_)[eviction->from].name, (*fleet_)[eviction->replacement_machine].name);
+  spdlog::info("drain={} task={} machine={} replacement_machine={}: eviction started",
+               eviction->drain, attempt->task_name, (*fleet_)[eviction->from].name,
+               (*fleet_)[eviction->replacement_machine].name);
   fleet_->RequestStop(eviction->from, attempt, GracePeriodOf(job));
   fleet_->placement_needed = true;
   // From here on it counts as what it is: down until its replacement is healthy.
@@ -136,7 +137,7 @@
     pause.seconds = std::clamp(pause.seconds * 2, kFirstPause, kLongestPause);
     pause.until = clock_->Now() + pause.seconds;
     if (Drain* drain = Find(eviction->drain)) ++drain->progress.steps_given_up;
-    spdlog::warn("drain {}: the replacement of {}/{} does not become healthy; given up",
+    spdlog::warn("drain={} task={}/{}: replacement does not become healthy, eviction given up",
                  eviction->drain, job.id, eviction->task_index);
     return false;
   }
@@ -144,8 +145,8 @@
   TaskAttempt* attempt =
       fleet_->FindAttempt(task.machine, eviction->job, eviction->task_index, task.attempt);
   if (attempt == nullptr || attempt->running_since >= 0) return true;
-  spdlog::warn("drain {}: {} does not start on {}; another machine is tried", eviction->drain,
-               attempt->task_name, (*fleet_)[task.machine].name);
+  spdlog::warn("drain={} task={} machine={}: replacement does not start, another machine is tried",
+               eviction->drain, attempt->task_name, (*fleet_)[task.machine].name);
   if (std::find(job.failed_machines.begin(), job.failed_machines.end(), task.machine) ==
       job.failed_machines.end()) {
     job.failed_machines.push_back(task.machine);
--- a/src/drain/policy_replicator.cc
+++ b/src/drain/policy_replicator.cc
@@ -110,7 +110,7 @@
     }
     in_force_ = std::make_shared<const DisruptionPolicy>(std::move(policy.value()));
   }
-  spdlog::info("disruption policy {} is in force: {} budgets, {} drains", in_force_->revision,
+  spdlog::info("policy={} budgets={} drains={}: disruption policy in force", in_force_->revision,
                in_force_->budgets.size(), in_force_->drains.size());
   return true;
 }
--- a/src/fleet/http_worker_client.cc
+++ b/src/fleet/http_worker_client.cc
@@ -12,7 +12,7 @@
 void HttpWorkerClient::Send(const std::string& endpoint, const HttpCall& call, Done done) {
   Endpoint to;
   if (!ParseEndpoint(endpoint, &to)) {
-    spdlog::warn("worker address {} is not usable", endpoint);
+    spdlog::warn("endpoint={}: invalid worker address", endpoint);
     to = Endpoint{"0.0.0.0", 1};
   }
   http_.Call(to, call, [endpoint, done = std::move(done)](const HttpResult& result) {
@@ -24,7 +24,7 @@
       if (heartbeat) {
         response.heartbeat = std::move(*heartbeat);
       } else {
-        spdlog::warn("worker at {} answers no report", endpoint);
+        spdlog::warn("endpoint={}: worker response without a heartbeat", endpoint);
       }
     }
     if (response.has_heartbeat) response.status = result.status;
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -63,8 +63,9 @@
     ++pushed_out_;
     if (loop_->Now() - told_full_at_ > kTellEvery) {
       told_full_at_ = loop_->Now();
-      spdlog::warn("all {} connections are taken: the one idle longest goes for each new one",
-                   limits_.connections);
+      spdlog::warn(
+          "connections={}: connection limit reached, idle connections are closed for new ones",
+          limits_.connections);
     }
     if (idle_.empty()) return;
     Drop(idle_.front()->id);
