--- a/src/app/drains_command.cc
+++ b/src/app/drains_command.cc
@@ -4,6 +4,8 @@
 #include <cstdio>
 #include <functional>
 #include <iostream>
+#include <optional>
+#include <utility>
 
 #include "net/loop.h"
 #include "state/key_value_client.h"
@@ -12,7 +14,7 @@
 namespace deckhall {
 namespace {
 
-constexpr double kAnswerWithin = 5;  // seconds
+constexpr double kTimeoutSeconds = 5;
 
 class CommandClock : public Clock {
  public:
@@ -37,20 +39,18 @@
 
 }  // namespace
 
-void ReadDrainRows(const std::string& page, DrainRecords* out) {
-  rapidjson::Document doc;
-  if (!ParseJson(page, &doc) || !doc.IsArray()) return;
-  for (const auto& row : doc.GetArray()) {
+void DrainRecords::AddPage(const std::string& page) {
+  rapidjson::Document document;
+  if (!ParseJson(page, &document) || !document.IsArray()) return;
+  for (const auto& row : document.GetArray()) {
     rapidjson::StringBuffer buffer;
     JsonWriter writer(buffer);
     row.Accept(writer);
     const std::string_view text(buffer.GetString(), buffer.GetSize());
-    DrainProgress progress;
-    EvictionRecord step;
-    if (DecodeProgress(text, &progress)) {
-      out->drains.push_back(std::move(progress));
-    } else if (DecodeEviction(text, &step)) {
-      out->steps.push_back(std::move(step));
+    if (std::optional<DrainProgress> progress = DecodeProgress(text)) {
+      drains.push_back(std::move(*progress));
+    } else if (std::optional<EvictionRecord> eviction = DecodeEviction(text)) {
+      evictions.push_back(std::move(*eviction));
     }
   }
 }
@@ -68,10 +68,10 @@
       out += "  waits for " + Ago(wall - d.waiting_since_wall) + ": " + d.why + "\n";
     }
     if (d.state == DrainState::kDone && d.machines_done == 0) out += "  no machine matched\n";
-    for (const EvictionRecord& s : records.steps) {
-      if (s.drain != d.drain) continue;
-      out += "  moving " + s.job + "/" + std::to_string(s.task) + " off " + s.machine + " for " +
-             Ago(wall - s.since_wall) + "\n";
+    for (const EvictionRecord& eviction : records.evictions) {
+      if (eviction.drain != d.drain) continue;
+      out += "  moving " + eviction.job + "/" + std::to_string(eviction.task) + " off " +
+             eviction.machine + " for " + Ago(wall - eviction.since_wall) + "\n";
     }
   }
   return out;
@@ -85,14 +85,14 @@
   DrainRecords records;
   bool complete = false;
   Timer timeout(&loop, [&loop] { loop.Stop(); });
-  timeout.Start(kAnswerWithin);
+  timeout.Start(kTimeoutSeconds);
   std::function<void(const std::string&)> list = [&](const std::string& after) {
     state.List(std::string(RecordStore::kPrefix), after, [&](const KeyValueResponse& response) {
       if (response.status != KeyValueStatus::kOk) {
         loop.Stop();
         return;
       }
-      for (const KeyValue& row : response.entries) ReadDrainRows(row.value, &records);
+      for (const KeyValue& page : response.entries) records.AddPage(page.value);
       if (response.truncated && !response.entries.empty()) {
         list(response.entries.back().key);
         return;
--- a/src/app/drains_command.h
+++ b/src/app/drains_command.h
@@ -13,14 +13,15 @@
 // What is durable of drains.
 struct DrainRecords {
   std::vector<DrainProgress> drains;
-  std::vector<EvictionRecord> steps;
+  std::vector<EvictionRecord> evictions;
+
+  // Adds what one page of the record store has; records of other kinds are passed over.
+  void AddPage(const std::string& page);
 };
 
-// Reads the rows of one page of the row store; rows of other kinds are passed over.
-void ReadDrainRows(const std::string& page, DrainRecords* out);
-// What is shown to operators at that time of day.
+// What is shown to operators. `wall` is the time of day in seconds since 1970.
 std::string DescribeDrains(const DrainRecords& records, double wall);
-// Reads the state service and prints. Returns the process's exit status.
+// Reads the state service and prints. Returns the exit status: 1 when it does not answer.
 int PrintDrains(const Settings& settings);
 
 }  // namespace deckhall
--- a/src/drain/drain_records.cc
+++ b/src/drain/drain_records.cc
@@ -1,11 +1,17 @@
 #include "drain/drain_records.h"
 
+#include <utility>
+
+#include "wire/enum_words.h"
 #include "wire/json.h"
 
 namespace deckhall {
 namespace {
 
-constexpr size_t kLongestWhy = 200;
+constexpr size_t kMaxReasonBytes = 200;
+
+constexpr EnumWord<DrainState> kDrainStateWords[] = {
+    {DrainState::kActive, "active"}, {DrainState::kPaused, "paused"}, {DrainState::kDone, "done"}};
 
 void PutNumber(JsonWriter& writer, const char* name, double value) {
   writer.Key(name);
@@ -19,17 +25,7 @@
 
 }  // namespace
 
-const char* DrainStateName(DrainState state) {
-  switch (state) {
-    case DrainState::kActive:
-      return "active";
-    case DrainState::kPaused:
-      return "paused";
-    case DrainState::kDone:
-      return "done";
-  }
-  return "active";
-}
+const char* DrainStateName(DrainState state) { return WordOf(kDrainStateWords, state, "active"); }
 
 std::string EncodeProgress(const DrainProgress& progress) {
   rapidjson::StringBuffer buffer;
@@ -45,56 +41,73 @@
   PutCount(writer, "replicas_moving", progress.replicas_moving);
   PutCount(writer, "tasks_stopped", progress.tasks_stopped);
   PutCount(writer, "given_up", progress.steps_given_up);
-  PutString(writer, "why", std::string_view(progress.why).substr(0, kLongestWhy));
+  PutString(writer, "why", std::string_view(progress.why).substr(0, kMaxReasonBytes));
   PutNumber(writer, "waiting_since", progress.waiting_since_wall);
   writer.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-std::string EncodeEviction(const EvictionRecord& s) {
+std::string EncodeEviction(const EvictionRecord& eviction) {
   rapidjson::StringBuffer buffer;
   JsonWriter writer(buffer);
   writer.SetMaxDecimalPlaces(2);
   writer.StartObject();
-  PutString(writer, "drain_step", s.drain);
-  PutString(writer, "job", s.job);
-  PutCount(writer, "task", s.task);
-  PutString(writer, "machine", s.machine);
-  PutCount(writer, "attempt", s.attempt);
-  PutNumber(writer, "since", s.since_wall);
+  PutString(writer, "drain_step", eviction.drain);
+  PutString(writer, "job", eviction.job);
+  PutCount(writer, "task", eviction.task);
+  PutString(writer, "machine", eviction.machine);
+  PutCount(writer, "attempt", eviction.attempt);
+  PutNumber(writer, "since", eviction.since_wall);
   writer.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-bool DecodeProgress(std::string_view text, DrainProgress* out) {
-  rapidjson::Document doc;
-  if (!ParseJson(text, &doc) || !JsonString(doc, "drain", &out->drain)) return false;
+std::optional<DrainProgress> DecodeProgress(std::string_view text) {
+  rapidjson::Document document;
+  DrainProgress progress;
+  if (!ParseJson(text, &document) || !JsonString(document, "drain", &progress.drain)) {
+    return std::nullopt;
+  }
   std::string word;
-  JsonString(doc, "state", &word);
-  out->state = word == "done"     ? DrainState::kDone
-               : word == "paused" ? DrainState::kPaused
-                                  : DrainState::kActive;
-  JsonNumber(doc, "since", &out->since_wall);
-  JsonU64(doc, "machines_done", &out->machines_done);
-  JsonU64(doc, "machines_left", &out->machines_left);
-  JsonU64(doc, "replicas_moved", &out->replicas_moved);
-  JsonU64(doc, "replicas_moving", &out->replicas_moving);
-  JsonU64(doc, "tasks_stopped", &out->tasks_stopped);
-  JsonU64(doc, "given_up", &out->steps_given_up);
-  JsonString(doc, "why", &out->why);
-  JsonNumber(doc, "waiting_since", &out->waiting_since_wall);
+  JsonString(document, "state", &word);
+  progress.state = EnumOf(kDrainStateWords, word).value_or(DrainState::kActive);
+  JsonNumber(document, "since", &progress.since_wall);
+  JsonU64(document, "machines_done", &progress.machines_done);
+  JsonU64(document, "machines_left", &progress.machines_left);
+  JsonU64(document, "replicas_moved", &progress.replicas_moved);
+  JsonU64(document, "replicas_moving", &progress.replicas_moving);
+  JsonU64(document, "tasks_stopped", &progress.tasks_stopped);
+  JsonU64(document, "given_up", &progress.steps_given_up);
+  JsonString(document, "why", &progress.why);
+  JsonNumber(document, "waiting_since", &progress.waiting_since_wall);
+  return progress;
+}
+
+bool DecodeProgress(std::string_view text, DrainProgress* progress) {
+  std::optional<DrainProgress> decoded = DecodeProgress(text);
+  if (!decoded) return false;
+  *progress = std::move(*decoded);
   return true;
 }
 
-bool DecodeEviction(std::string_view text, EvictionRecord* out) {
-  rapidjson::Document doc;
-  if (!ParseJson(text, &doc) || !JsonString(doc, "drain_step", &out->drain)) return false;
-  if (!JsonString(doc, "job", &out->job) || !JsonString(doc, "machine", &out->machine)) {
-    return false;
+std::optional<EvictionRecord> DecodeEviction(std::string_view text) {
+  rapidjson::Document document;
+  EvictionRecord eviction;
+  if (!ParseJson(text, &document) || !JsonString(document, "drain_step", &eviction.drain) ||
+      !JsonString(document, "job", &eviction.job) ||
+      !JsonString(document, "machine", &eviction.machine)) {
+    return std::nullopt;
   }
-  JsonU64(doc, "task", &out->task);
-  JsonU64(doc, "attempt", &out->attempt);
-  JsonNumber(doc, "since", &out->since_wall);
+  JsonU64(document, "task", &eviction.task);
+  JsonU64(document, "attempt", &eviction.attempt);
+  JsonNumber(document, "since", &eviction.since_wall);
+  return eviction;
+}
+
+bool DecodeEviction(std::string_view text, EvictionRecord* eviction) {
+  std::optional<EvictionRecord> decoded = DecodeEviction(text);
+  if (!decoded) return false;
+  *eviction = std::move(*decoded);
   return true;
 }
 
--- a/src/drain/drain_records.h
+++ b/src/drain/drain_records.h
@@ -1,8 +1,11 @@
-// What is durable of drains: how far each has come, and the steps in flight. Rows of the row
-// store; a version that does not know them keeps them as they are.
+// What is durable of drains: how far each has come, and the evictions in flight. Records of the
+// record store, which the leader writes; a version that does not know them keeps them as they are.
+// Wall times are seconds since 1970.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
+#include <optional>
 #include <string>
 #include <string_view>
 
@@ -19,9 +22,9 @@
   uint64_t machines_left = 0;
   uint64_t replicas_moved = 0;
   uint64_t replicas_moving = 0;
-  uint64_t tasks_stopped = 0;  // of arrays
-  uint64_t steps_given_up = 0;
-  std::string why;  // it does not go on now; empty: it does
+  uint64_t tasks_stopped = 0;   // of arrays
+  uint64_t steps_given_up = 0;  // evictions left to the ordinary placement
+  std::string why;              // it does not go on now; empty: it does
   double waiting_since_wall = 0;
 
   bool operator==(const DrainProgress&) const = default;
@@ -31,20 +34,27 @@
 struct EvictionRecord {
   std::string drain;
   std::string job;
-  uint64_t task = 0;
-  std::string machine;
+  uint64_t task = 0;     // its index in the job
+  std::string machine;   // that it leaves
   uint64_t attempt = 0;  // the one that is stopped
   double since_wall = 0;
 };
 
-// What the longest row takes, so that its page has room for it.
+// Bytes of the longest EncodeProgress, so that its page has room for it.
 constexpr size_t kProgressBytes = 640;
 
+// `why` is cut to what fits.
 std::string EncodeProgress(const DrainProgress& progress);
-std::string EncodeEviction(const EvictionRecord& step);
-// False when the text is no such row.
-bool DecodeProgress(std::string_view text, DrainProgress* out);
-bool DecodeEviction(std::string_view text, EvictionRecord* out);
+std::string EncodeEviction(const EvictionRecord& eviction);
+
+// Empty when the text is no such record.
+std::optional<DrainProgress> DecodeProgress(std::string_view text);
+std::optional<EvictionRecord> DecodeEviction(std::string_view text);
+// The old forms: false when the text is none.
+bool DecodeProgress(std::string_view text, DrainProgress* progress);
+bool DecodeEviction(std::string_view text, EvictionRecord* eviction);
+
+// The state as it is stored, and as operators read it.
 const char* DrainStateName(DrainState state);
 
 }  // namespace deckhall
--- a/tests/drain_loopback_test.cc
+++ b/tests/drain_loopback_test.cc
@@ -77,7 +77,7 @@
                   "\") (image-wait-s \"1\") (replace-within-s \"10\")) (drains " + drains + "))");
   }
 
-  void Submit(JobSpec spec) {
+  void Submit(const JobSpec& spec) {
     fleet_.Know(spec);
     tasks_ += spec.task_count;
     services_.push_back(spec);
@@ -189,13 +189,14 @@
   for (int round = 0; round < rounds; ++round) {
     const std::string zone = names[round % 3];
     const std::string type = types[round % 2];
-    const std::string first =
-        "(drain \"zone-" + std::to_string(round) + "\" " + zones[round % 3] + ") ";
+    std::string first = "(drain \"zone-" + std::to_string(round) + "\" ";
+    first.append(zones[round % 3]).append(") ");
     const double began = SteadySeconds();
     Policy(random_() % 3, first);
     Run(2.5);
-    Policy(random_() % 3,
-           first + "(drain \"type-" + std::to_string(round) + "\" (type \"" + type + "\"))");
+    std::string both = first + "(drain \"type-" + std::to_string(round) + "\" ";
+    both.append("(type \"").append(type).append("\"))");
+    Policy(random_() % 3, both);
     const auto drained = [&] {
       return fleet_.Machines(zone, "") == 0 && fleet_.Machines("", type) == 0 && AllUp();
     };
--- a/tests/drain_policy_test.cc
+++ b/tests/drain_policy_test.cc
@@ -296,19 +296,17 @@
   p.steps_given_up = 8;
   p.why = "paused";
   p.waiting_since_wall = 1200;
-  DrainProgress back;
-  ASSERT_TRUE(DecodeProgress(EncodeProgress(p), &back));
-  EXPECT_EQ(back, p);
+  EXPECT_EQ(DecodeProgress(EncodeProgress(p)), p);
   EXPECT_LE(EncodeProgress(p).size(), kProgressBytes);
   EvictionRecord s{"west", "job-1", 2, "m-3", 4, 5.5};
-  EvictionRecord step;
-  ASSERT_TRUE(DecodeEviction(EncodeEviction(s), &step));
-  EXPECT_EQ(step.machine, "m-3");
-  EXPECT_EQ(step.attempt, 4U);
-  EXPECT_FALSE(DecodeProgress(EncodeEviction(s), &back));
-  EXPECT_FALSE(DecodeEviction(EncodeProgress(p), &step));
-  EXPECT_FALSE(DecodeProgress(R"({"m":"m-1","e":""})", &back));
-  EXPECT_FALSE(DecodeEviction("[]", &step));
+  const auto step = DecodeEviction(EncodeEviction(s));
+  ASSERT_TRUE(step.has_value());
+  EXPECT_EQ(step->machine, "m-3");
+  EXPECT_EQ(step->attempt, 4U);
+  EXPECT_FALSE(DecodeProgress(EncodeEviction(s)).has_value());
+  EXPECT_FALSE(DecodeEviction(EncodeProgress(p)).has_value());
+  EXPECT_FALSE(DecodeProgress(R"({"m":"m-1","e":""})").has_value());
+  EXPECT_FALSE(DecodeEviction("[]").has_value());
 }
 
 TEST(DrainRecord, ALongReasonDoesNotOutgrowItsRow) {
@@ -331,8 +329,8 @@
   p.waiting_since_wall = 1100;
   const EvictionRecord s{"west", "job-1", 2, "m-3", 4, 1130};
   DrainRecords records;
-  ReadDrainRows("[{\"m\":\"m-1\"}," + EncodeProgress(p) + "," + EncodeEviction(s) + "]", &records);
-  ReadDrainRows("not a page", &records);
+  records.AddPage("[{\"m\":\"m-1\"}," + EncodeProgress(p) + "," + EncodeEviction(s) + "]");
+  records.AddPage("not a page");
   const std::string text = DescribeDrains(records, 1142);
   EXPECT_NE(text.find("2 machines done, 3 left"), std::string::npos) << text;
   EXPECT_NE(text.find("waits for 42 s: the budget allows"), std::string::npos) << text;
--- a/tests/drain_world.cc
+++ b/tests/drain_world.cc
@@ -46,7 +46,7 @@
   Settle();
 }
 
-void DrainWorld::StartService(JobSpec spec) {
+void DrainWorld::StartService(const JobSpec& spec) {
   services_[spec.id] = spec;
   EXPECT_EQ(Submit(spec).status, 201);
   Watch(3);
--- a/tests/drain_world.h
+++ b/tests/drain_world.h
@@ -33,7 +33,7 @@
   // Submits a service of the team and lets it come up.
   void StartService(const std::string& id, uint32_t replicas, const std::string& team = "red",
                     double cores = 2);
-  void StartService(JobSpec spec);
+  void StartService(const JobSpec& spec);
   // The service is over: it is no longer counted.
   void Forget(const std::string& id) { services_.erase(id); }
   // Lets time pass; machines that were rented come up, those that were returned are gone. After
--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -63,7 +63,7 @@
     }
   }
   void Answer(Done done, KeyValueResponse answer) {
-    queue.push_back([done = std::move(done), answer] { done(answer); });
+    queue.push_back([done = std::move(done), answer = std::move(answer)] { done(answer); });
   }
   KeyValueResponse Apply(const Transaction& txn) {
     KeyValueResponse a;
--- a/tests/golden_rows_test.cc
+++ b/tests/golden_rows_test.cc
@@ -515,12 +515,8 @@
 TEST(GoldenRows, DrainProgressIsWrittenAndReadAsEver) {
   EXPECT_EQ(EncodeProgress(FullProgress()), kFullProgress);
   EXPECT_EQ(EncodeProgress(DrainProgress()), kMinimalProgress);
-  DrainProgress read;
-  ASSERT_TRUE(DecodeProgress(kFullProgress, &read));
-  EXPECT_EQ(read, FullProgress());
-  DrainProgress minimal;
-  ASSERT_TRUE(DecodeProgress(kMinimalProgress, &minimal));
-  EXPECT_EQ(minimal, DrainProgress());
+  EXPECT_EQ(DecodeProgress(kFullProgress), FullProgress());
+  EXPECT_EQ(DecodeProgress(kMinimalProgress), DrainProgress());
 }
 
 TEST(GoldenRows, EveryDrainStateHasItsWord) {
@@ -529,9 +525,9 @@
                                                                  {DrainState::kDone, "done"}};
   for (const auto& [state, word] : words) {
     EXPECT_EQ(DrainStateName(state), word);
-    DrainProgress read;
-    ASSERT_TRUE(DecodeProgress(R"({"drain":"west","state":")" + word + R"("})", &read));
-    EXPECT_EQ(read.state, state) << word;
+    const auto read = DecodeProgress(R"({"drain":"west","state":")" + word + R"("})");
+    ASSERT_TRUE(read.has_value());
+    EXPECT_EQ(read->state, state) << word;
   }
 }
 
@@ -546,14 +542,14 @@
   const std::string text = R"({"drain_step":"west","job":"job-12","task":3,"machine":"m-1",)"
                            R"("attempt":9007199254740993,"since":500001000.25})";
   EXPECT_EQ(EncodeEviction(step), text);
-  EvictionRecord read;
-  ASSERT_TRUE(DecodeEviction(text, &read));
-  EXPECT_EQ(read.drain, step.drain);
-  EXPECT_EQ(read.job, step.job);
-  EXPECT_EQ(read.task, step.task);
-  EXPECT_EQ(read.machine, step.machine);
-  EXPECT_EQ(read.attempt, step.attempt);
-  EXPECT_EQ(read.since_wall, step.since_wall);
+  const auto read = DecodeEviction(text);
+  ASSERT_TRUE(read.has_value());
+  EXPECT_EQ(read->drain, step.drain);
+  EXPECT_EQ(read->job, step.job);
+  EXPECT_EQ(read->task, step.task);
+  EXPECT_EQ(read->machine, step.machine);
+  EXPECT_EQ(read->attempt, step.attempt);
+  EXPECT_EQ(read->since_wall, step.since_wall);
   EXPECT_EQ(EncodeEviction(EvictionRecord()),
             R"({"drain_step":"","job":"","task":0,"machine":"","attempt":0,"since":0.0})");
 }
--- a/tests/loopback_controllers.cc
+++ b/tests/loopback_controllers.cc
@@ -21,6 +21,7 @@
 
 pid_t Spawn(const std::vector<std::string>& arguments, const std::string& output) {
   std::vector<char*> argv;
+  argv.reserve(arguments.size() + 1);
   for (const std::string& a : arguments) argv.push_back(const_cast<char*>(a.c_str()));
   argv.push_back(nullptr);
   posix_spawn_file_actions_t actions;
@@ -157,7 +158,7 @@
 }
 
 std::string LoopbackControllers::RunCommand(const std::vector<std::string>& arguments, pid_t* pid) {
-  const std::string output = folder_ + "/command-" + std::to_string(commands_++) + ".out";
+  std::string output = folder_ + "/command-" + std::to_string(commands_++) + ".out";
   std::vector<std::string> all = {DECKHALL_BINARY};
   all.insert(all.end(), arguments.begin(), arguments.end());
   *pid = Spawn(all, output);
