--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -266,11 +266,4 @@
   return settings;
 }
 
-std::string ReadSettings(const std::string& text, Settings* settings) {
-  auto result = ReadSettings(text);
-  if (!result.has_value()) return DescribeError(result.error());
-  *settings = std::move(result.value());
-  return "";
-}
-
 }  // namespace deckhall
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -108,7 +108,5 @@
 
 // Reads and checks the text of the file. What it leaves out keeps its default.
 Result<Settings, SettingsError> ReadSettings(const std::string& text);
-// The old form: the error in words, or an empty string and the settings.
-std::string ReadSettings(const std::string& text, Settings* settings);
 
 }  // namespace deckhall
--- a/src/drain/drain_records.cc
+++ b/src/drain/drain_records.cc
@@ -83,13 +83,6 @@
   return progress;
 }
 
-bool DecodeProgress(std::string_view text, DrainProgress* progress) {
-  std::optional<DrainProgress> decoded = DecodeProgress(text);
-  if (!decoded) return false;
-  *progress = std::move(*decoded);
-  return true;
-}
-
 std::optional<EvictionRecord> DecodeEviction(std::string_view text) {
   rapidjson::Document document;
   EvictionRecord eviction;
@@ -104,11 +97,4 @@
   return eviction;
 }
 
-bool DecodeEviction(std::string_view text, EvictionRecord* eviction) {
-  std::optional<EvictionRecord> decoded = DecodeEviction(text);
-  if (!decoded) return false;
-  *eviction = std::move(*decoded);
-  return true;
-}
-
 }  // namespace deckhall
--- a/src/drain/drain_records.h
+++ b/src/drain/drain_records.h
@@ -50,9 +50,6 @@
 // Empty when the text is no such record.
 std::optional<DrainProgress> DecodeProgress(std::string_view text);
 std::optional<EvictionRecord> DecodeEviction(std::string_view text);
-// The old forms: false when the text is none.
-bool DecodeProgress(std::string_view text, DrainProgress* progress);
-bool DecodeEviction(std::string_view text, EvictionRecord* eviction);
 
 // The state as it is stored, and as operators read it.
 const char* DrainStateName(DrainState state);
--- a/src/drain/eviction_controller.cc
+++ b/src/drain/eviction_controller.cc
@@ -31,11 +31,10 @@
       places_(ports.job_store, ports.free_capacity, ports.clock) {}
 
 bool EvictionController::LoadRecord(RecordId record_id, const std::string& text) {
-  DrainProgress progress;
-  if (DecodeProgress(text, &progress)) {
+  if (std::optional<DrainProgress> progress = DecodeProgress(text)) {
     record_store_->Reserve(record_id, kProgressBytes);
-    const std::string name = progress.drain;
-    loaded_[name] = {record_id, std::move(progress)};
+    const std::string name = progress->drain;
+    loaded_[name] = {record_id, std::move(*progress)};
     return true;
   }
   return eviction_tracker_.LoadRecord(record_id, text);
--- a/src/drain/eviction_tracker.cc
+++ b/src/drain/eviction_tracker.cc
@@ -5,9 +5,9 @@
 namespace deckhall {
 
 bool EvictionTracker::LoadRecord(RecordId record_id, const std::string& text) {
-  EvictionRecord record;
-  if (!DecodeEviction(text, &record)) return false;
-  loaded_.push_back({record_id, std::move(record)});
+  std::optional<EvictionRecord> record = DecodeEviction(text);
+  if (!record) return false;
+  loaded_.push_back({record_id, std::move(*record)});
   return true;
 }
 
--- a/src/drain/policy.cc
+++ b/src/drain/policy.cc
@@ -407,13 +407,6 @@
   return policy;
 }
 
-std::string ReadPolicy(const std::string& text, DisruptionPolicy* policy) {
-  auto result = ReadPolicy(text);
-  if (!result.has_value()) return DescribeError(result.error());
-  *policy = std::move(result.value());
-  return "";
-}
-
 Result<void, PolicyError> CheckPolicy(const DisruptionPolicy& policy, const Settings& settings) {
   for (const DisruptionBudget& budget : policy.budgets) {
     const bool known =
--- a/src/drain/policy.h
+++ b/src/drain/policy.h
@@ -121,8 +121,6 @@
 
 // Reads the text of the disruption file. A policy that was read has a revision above 0.
 Result<DisruptionPolicy, PolicyError> ReadPolicy(const std::string& text);
-// The old form: the error in words, or an empty string and the policy.
-std::string ReadPolicy(const std::string& text, DisruptionPolicy* policy);
 
 // Checks what only the platform's settings tell: teams and zones.
 Result<void, PolicyError> CheckPolicy(const DisruptionPolicy& policy, const Settings& settings);
--- a/src/leader/leader.cc
+++ b/src/leader/leader.cc
@@ -43,12 +43,12 @@
       ranking_(&job_store_, &free_capacity_, ports.clock, tuning),
       gang_supervisor_(&job_store_, &fleet_, &ranking_, ports.clock, settings),
       ledger_(&job_store_, &fleet_, ports.clock, HeartbeatOverdueSeconds(*settings)),
-      drainer_({&job_store_, &fleet_, &free_capacity_, &provisioner_, &gang_supervisor_,
-                &record_store_, &ledger_, ports.clock}),
+      eviction_controller_({&job_store_, &fleet_, &free_capacity_, &provisioner_, &gang_supervisor_,
+                            &record_store_, &ledger_, ports.clock}),
       placer_(&job_store_, &fleet_, &free_capacity_, &ranking_, &provisioner_, &ledger_,
               ports.clock, tuning),
       autoscaler_(&job_store_, &fleet_, &free_capacity_, &ranking_, &provisioner_, &ledger_,
-                  &drainer_, ports.clock, settings, tuning),
+                  &eviction_controller_, ports.clock, settings, tuning),
       admission_control_(&job_store_, &provisioner_, ports.clock, settings),
       job_request_handler_({.job_store = &job_store_,
                             .fleet = &fleet_,
@@ -119,7 +119,7 @@
   fleet_.on_machine_reconciled = [this] { failover_reconciler_.RequestRelease(); };
   fleet_.observer = &ledger_;
   job_store_.on_lifecycle_change = [this](JobIndex job_index) { ledger_.JobChanged(job_index); };
-  placer_.on_refreshed = [this] { drainer_.PlaceReplacements(); };
+  placer_.on_refreshed = [this] { eviction_controller_.PlaceReplacements(); };
 }
 
 void Leader::LoseLeadership(const char* reason) {
@@ -152,13 +152,13 @@
   for (const auto& [record_id, text] : records) {
     const bool known =
         provisioner_.LoadRecord(record_id, text) || cache_hints_.LoadRecord(record_id, text) ||
-        drainer_.LoadRecord(record_id, text) || job_store_.LoadRecord(record_id, text);
+        eviction_controller_.LoadRecord(record_id, text) || job_store_.LoadRecord(record_id, text);
     if (!known) spdlog::error("term={}: unknown record ignored: {}", term_, text);
   }
   const double now = ports_.clock->Now();
   job_store_.FinishLoad(now, ports_.clock->Wall());
   cache_hints_.FinishLoad();
-  drainer_.FinishLoad();
+  eviction_controller_.FinishLoad();
   record_store_.SplitLargePages();
   RestoreRemainingWork();
   for (MachineIndex machine_index : fleet_.active()) fleet_.MarkChanged(machine_index);
@@ -187,7 +187,7 @@
   // Drains resume from their records, and replicas are counted from the records.
   if (!loaded_) return;
   ledger_.ApplyPolicy(policy_, confirmed);
-  drainer_.ApplyPolicy(policy_, confirmed);
+  eviction_controller_.ApplyPolicy(policy_, confirmed);
 }
 
 void Leader::HandleJobRequest(const JobRequest& request, JobResponseCallback done) {
@@ -253,7 +253,7 @@
     preemption_notice_handler_.HandlePreemptionNotice(machine_index);
   }
   gang_supervisor_.CheckGangs();
-  drainer_.Tick();
+  eviction_controller_.Tick();
   attempt_exit_handler_.ClearFailuresOfProvenServices();
   ended_job_collector_.CollectEndedJobs();
 }
--- a/src/leader/leader.h
+++ b/src/leader/leader.h
@@ -81,7 +81,7 @@
 
   JobStore& job_store() { return job_store_; }
   Fleet& fleet() { return fleet_; }
-  const EvictionController& drainer() const { return drainer_; }
+  const EvictionController& eviction_controller() const { return eviction_controller_; }
   const DisruptionLedger& ledger() const { return ledger_; }
   // Seconds for which most machines have not responded to this node although their heartbeats
   // arrive by way of other nodes; 0 when they do respond.
@@ -131,7 +131,7 @@
   Ranking ranking_;
   GangSupervisor gang_supervisor_;
   DisruptionLedger ledger_;
-  EvictionController drainer_;
+  EvictionController eviction_controller_;
   Placer placer_;
   Autoscaler autoscaler_;
 
--- a/src/mesh/frame_reader.cc
+++ b/src/mesh/frame_reader.cc
@@ -3,6 +3,7 @@
 #include <spdlog/spdlog.h>
 
 #include <cstdint>
+#include <optional>
 #include <utility>
 
 namespace deckhall {
@@ -30,13 +31,13 @@
     const uint32_t length = DecodeLength(rest);
     if (length > kMaxFrame) return false;
     if (rest.size() - kLengthBytes < length) break;
-    PeerFrame frame;
-    if (!DecodeFrame(rest.substr(kLengthBytes, length), &frame)) {
+    std::optional<PeerFrame> frame = DecodeFrame(rest.substr(kLengthBytes, length));
+    if (!frame) {
       spdlog::warn("peer connection closed: malformed frame");
       return false;
     }
     position += kLengthBytes + length;
-    handle_frame(std::move(frame));
+    handle_frame(std::move(*frame));
   }
   buffer_.erase(0, position);
   return true;
--- a/src/wire/peer_codec.cc
+++ b/src/wire/peer_codec.cc
@@ -331,11 +331,4 @@
   return frame;
 }
 
-bool DecodeFrame(std::string_view bytes, PeerFrame* frame) {
-  std::optional<PeerFrame> decoded = DecodeFrame(bytes);
-  if (!decoded) return false;
-  *frame = std::move(*decoded);
-  return true;
-}
-
 }  // namespace deckhall
--- a/src/wire/peer_codec.h
+++ b/src/wire/peer_codec.h
@@ -45,7 +45,5 @@
 void EncodeFrame(const PeerFrame& frame, std::string* out);
 // `bytes` are the message without its length. Empty when they are no frame.
 std::optional<PeerFrame> DecodeFrame(std::string_view bytes);
-// The old form: false when they are none.
-bool DecodeFrame(std::string_view bytes, PeerFrame* frame);
 
 }  // namespace deckhall
