--- a/src/leader/consolidator.h
+++ b/src/leader/consolidator.h
@@ -5,6 +5,7 @@
 // leader begins anew. Every move keeps to the disruption budgets.
 #pragma once
 
+#include <tuple>
 #include <vector>
 
 #include "drain/disruption_ledger.h"
@@ -27,7 +28,9 @@
     double used_cores = 0;
     MachineIndex machine = kNoIndex;
 
-    auto operator<=>(const Candidate&) const = default;
+    bool operator<(const Candidate& other) const {
+      return std::tie(used_cores, machine) < std::tie(other.used_cores, other.machine);
+    }
   };
 
   // Whether waiting tasks need the room.
