--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -10,30 +10,31 @@
 namespace deckhall {
 namespace {
 
-constexpr double kTimeoutSeconds = 5.0;
+constexpr double kRequestTimeoutSeconds = 5.0;
 constexpr size_t kMaxResponseBytes = 2 << 20;
 constexpr size_t kMaxConnections = 16;
-constexpr int kInstancesPerPage = 500;  // the most that the cloud lists at once
-constexpr double kRefusalDelaySeconds = 0.05;
-// The part of the limit that is used.
-constexpr double kRateShare = 0.8;
+constexpr int kInstancesPerPage = 500;  // the cloud's maximum page size
+constexpr double kThrottleDelaySeconds = 0.05;
+// Share of the cloud's rate limit that is used.
+constexpr double kRateLimitShare = 0.8;
+// Size of a burst, in seconds of the cloud's rate limit.
 constexpr double kBurstSeconds = 1.5;
 
 }  // namespace
 
-CloudClient::CloudClient(Loop* loop, const Clock* clock, Endpoint at, double rps)
+CloudClient::CloudClient(Loop* loop, const Clock* clock, Endpoint endpoint, double rps)
     : clock_(clock),
-      endpoint_(std::move(at)),
-      budget_(rps * kRateShare, rps * kBurstSeconds),
+      endpoint_(std::move(endpoint)),
+      budget_(rps * kRateLimitShare, rps * kBurstSeconds),
       http_(loop, kMaxConnections, kMaxResponseBytes),
-      refusal_timer_(loop, [this] {
-        for (auto& done : std::exchange(refused_calls_, {})) done(HttpResult());
+      throttle_timer_(loop, [this] {
+        for (auto& done : std::exchange(throttled_calls_, {})) done(HttpResult());
       }) {}
 
 void CloudClient::Send(const HttpCall& call, double reserve, HttpClient::Done done) {
   if (!budget_.Take(clock_->Now(), 1, reserve)) {
-    refused_calls_.push_back(std::move(done));
-    if (!refusal_timer_.active()) refusal_timer_.Start(kRefusalDelaySeconds);
+    throttled_calls_.push_back(std::move(done));
+    if (!throttle_timer_.active()) throttle_timer_.Start(kThrottleDelaySeconds);
     return;
   }
   http_.Call(endpoint_, call, [this, done = std::move(done)](HttpResult result) {
@@ -43,21 +44,22 @@
 }
 
 void CloudClient::ListTypes(std::function<void(bool, std::vector<MachineType>)> done) {
-  Send({"GET", "/flavors", "", kTimeoutSeconds}, 1,
+  Send({"GET", "/flavors", "", kRequestTimeoutSeconds}, 1,
        [done = std::move(done)](const HttpResult& result) {
          std::optional<std::vector<MachineType>> types;
          if (result.status == 200) types = DecodeTypes(result.body);
-         if (result.status == 200 && !types) spdlog::warn("cloud: unusable machine types");
+         if (result.status == 200 && !types) spdlog::warn("cloud: machine type list is malformed");
          const bool ok = types.has_value();
          done(ok, std::move(types).value_or(std::vector<MachineType>()));
        });
 }
 
-void CloudClient::ScaleOut(const std::string& request, const std::string& type,
+void CloudClient::ScaleOut(const std::string& request_id, const std::string& type,
                            const std::string& zone, bool spot, int count,
                            std::function<void(ScaleOutResponse)> done) {
-  Send({"POST", "/machines", EncodeScaleOut(request, type, zone, spot, count), kTimeoutSeconds}, 0,
-       [done = std::move(done)](const HttpResult& result) {
+  Send({"POST", "/machines", EncodeScaleOut(request_id, type, zone, spot, count),
+        kRequestTimeoutSeconds},
+       0, [done = std::move(done)](const HttpResult& result) {
          ScaleOutResponse response;
          std::optional<std::vector<std::string>> machines;
          if (result.status == 200) machines = DecodeScaleOutResponse(result.body);
@@ -67,25 +69,25 @@
              result.status == 503 && result.body.find("no capacity") != std::string::npos;
          response.malformed = result.status == 400;
          if (result.status == 200 && !response.ok)
-           spdlog::warn("cloud: unusable answer to a rental");
-         if (response.malformed) spdlog::error("cloud: rental refused as malformed");
+           spdlog::warn("cloud: response to a scale-out request is malformed");
+         if (response.malformed) spdlog::error("cloud: scale-out request rejected as malformed");
          done(std::move(response));
        });
 }
 
 void CloudClient::ScaleIn(const std::vector<std::string>& machines,
                           std::function<void(bool)> done) {
-  Send({"POST", "/machines/return", EncodeScaleIn(machines), kTimeoutSeconds}, 0,
+  Send({"POST", "/machines/return", EncodeScaleIn(machines), kRequestTimeoutSeconds}, 0,
        [done = std::move(done)](const HttpResult& result) { done(result.status == 200); });
 }
 
 void CloudClient::ListInstances(const std::string& after,
                                 std::function<void(bool, std::vector<CloudInstance>, bool)> done) {
-  Send({"GET", InstanceListPath(after, kInstancesPerPage), "", kTimeoutSeconds}, 1,
+  Send({"GET", InstanceListPath(after, kInstancesPerPage), "", kRequestTimeoutSeconds}, 1,
        [done = std::move(done)](const HttpResult& result) {
          std::optional<InstancePage> page;
          if (result.status == 200) page = DecodeInstanceList(result.body);
-         if (result.status == 200 && !page) spdlog::warn("cloud: unusable machine list");
+         if (result.status == 200 && !page) spdlog::warn("cloud: instance list is malformed");
          const bool ok = page.has_value();
          InstancePage listed = std::move(page).value_or(InstancePage());
          done(ok, std::move(listed.instances), listed.truncated);
--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -1,4 +1,5 @@
-// The cloud over HTTP, within its rate limit.
+// HTTP client of the cloud's API. Stays within the cloud's rate limit: calls beyond it fail locally
+// after a short delay, as if the cloud had not responded.
 #pragma once
 
 #include "cloud/cloud_provider.h"
@@ -10,23 +11,25 @@
 
 class CloudClient : public CloudProvider {
  public:
-  CloudClient(Loop* loop, const Clock* clock, Endpoint at, double rps);
+  // `rps` is the cloud's rate limit, in requests per second.
+  CloudClient(Loop* loop, const Clock* clock, Endpoint endpoint, double rps);
   void ListTypes(std::function<void(bool, std::vector<MachineType>)> done) override;
-  void ScaleOut(const std::string& request, const std::string& type, const std::string& zone,
+  void ScaleOut(const std::string& request_id, const std::string& type, const std::string& zone,
                 bool spot, int count, std::function<void(ScaleOutResponse)> done) override;
   void ScaleIn(const std::vector<std::string>& machines, std::function<void(bool)> done) override;
   void ListInstances(const std::string& after,
                      std::function<void(bool, std::vector<CloudInstance>, bool)> done) override;
 
  private:
+  // Sends the call if that leaves `reserve` requests in the rate budget.
   void Send(const HttpCall& call, double reserve, HttpClient::Done done);
 
   const Clock* clock_;
   Endpoint endpoint_;
   TokenBucket budget_;
   HttpClient http_;
-  Timer refusal_timer_;
-  std::vector<HttpClient::Done> refused_calls_;
+  Timer throttle_timer_;
+  std::vector<HttpClient::Done> throttled_calls_;
 };
 
 }  // namespace deckhall
--- a/src/cloud/provisioner.cc
+++ b/src/cloud/provisioner.cc
@@ -68,7 +68,8 @@
   return types;
 }
 
-// Room for what may still come.
+// Bytes to reserve for a machine's record, so that its endpoint and the bound on its lease expiry
+// can be added later.
 size_t MachineReserve(const Machine& machine, const std::string& text) {
   return text.size() + (machine.endpoint.empty() ? 24 : 0) +
          (machine.unrenewed_since_wall < 0 ? 20 : 0);
@@ -100,31 +101,31 @@
     const MachineIndex machine_index = fleet_->Add(name);
     Machine& machine = (*fleet_)[machine_index];
     machine.record_id = record_id;
-    std::string word;
+    std::string value;
     JsonString(doc, "e", &machine.endpoint);
-    if (JsonString(doc, "c", &word)) machine.type = job_store_->types.Add(word);
-    if (JsonString(doc, "z", &word)) machine.zone = job_store_->zones.Add(word);
+    if (JsonString(doc, "c", &value)) machine.type = job_store_->types.Add(value);
+    if (JsonString(doc, "z", &value)) machine.zone = job_store_->zones.Add(value);
     JsonBool(doc, "sp", &machine.spot);
     JsonNumber(doc, "w", &machine.provisioned_at_wall);
     JsonNumber(doc, "u", &machine.unrenewed_since_wall);
-    // Its address was durable before its first launch: without one it is empty.
+    // The endpoint is durable before the first launch, so a machine without one has no attempts.
     machine.may_run_former_attempts = !machine.endpoint.empty();
     machine.registered = true;
     record_store_->Reserve(record_id, MachineReserve(machine, text));
     return true;
   }
   if (JsonString(doc, "r", &name)) {
-    auto intent = std::make_unique<ScaleOutRequest>();
-    intent->request_id = name;
-    intent->record_id = record_id;
-    intent->from_earlier_term = true;
-    JsonString(doc, "c", &intent->type);
-    JsonString(doc, "z", &intent->zone);
-    JsonBool(doc, "sp", &intent->spot);
+    auto request = std::make_unique<ScaleOutRequest>();
+    request->request_id = name;
+    request->record_id = record_id;
+    request->from_earlier_term = true;
+    JsonString(doc, "c", &request->type);
+    JsonString(doc, "z", &request->zone);
+    JsonBool(doc, "sp", &request->spot);
     uint64_t count = 0;
     JsonU64(doc, "n", &count);
-    intent->count = static_cast<int>(std::min<uint64_t>(count, kMaxScaleOutBatch));
-    requests_.push_back(std::move(intent));
+    request->count = static_cast<int>(std::min<uint64_t>(count, kMaxScaleOutBatch));
+    requests_.push_back(std::move(request));
     return true;
   }
   return false;
@@ -134,11 +135,11 @@
 
 void Provisioner::SetTypes(std::vector<MachineType> types) {
   types_ = std::move(types);
-  type_of_.clear();
+  types_by_index_.clear();
   for (const auto& type : types_) {
-    const uint32_t at = job_store_->types.Add(type.name);
-    if (at >= type_of_.size()) type_of_.resize(at + 1, nullptr);
-    type_of_[at] = &type;
+    const uint32_t type_index = job_store_->types.Add(type.name);
+    if (type_index >= types_by_index_.size()) types_by_index_.resize(type_index + 1, nullptr);
+    types_by_index_[type_index] = &type;
   }
   fleet_->InvalidateAllCapacity();
   std::vector<MachinePool> pools;
@@ -160,7 +161,7 @@
 }
 
 const MachineType* Provisioner::TypeOf(uint32_t type) const {
-  return type < type_of_.size() ? type_of_[type] : nullptr;
+  return type < types_by_index_.size() ? types_by_index_[type] : nullptr;
 }
 
 MachinePool* Provisioner::FindPool(const std::string& type, const std::string& zone, bool spot) {
@@ -184,71 +185,73 @@
   return sum;
 }
 
-std::string Provisioner::EncodeRequest(const ScaleOutRequest& intent) const {
+std::string Provisioner::EncodeRequest(const ScaleOutRequest& request) const {
   rapidjson::StringBuffer buffer;
   JsonWriter writer(buffer);
   writer.StartObject();
-  PutString(writer, "r", intent.request_id);
-  PutString(writer, "c", intent.type);
-  PutString(writer, "z", intent.zone);
+  PutString(writer, "r", request.request_id);
+  PutString(writer, "c", request.type);
+  PutString(writer, "z", request.zone);
   writer.Key("sp");
-  writer.Bool(intent.spot);
+  writer.Bool(request.spot);
   writer.Key("n");
-  writer.Int(intent.count);
+  writer.Int(request.count);
   writer.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-void Provisioner::ScaleOut(uint32_t pool_index, int count, const std::string& why) {
+void Provisioner::ScaleOut(uint32_t pool_index, int count, const std::string& reason) {
   if (count > kMaxScaleOutBatch) {
-    ScaleOut(pool_index, count - kMaxScaleOutBatch, why);
+    ScaleOut(pool_index, count - kMaxScaleOutBatch, reason);
     count = kMaxScaleOutBatch;
   }
   const MachinePool& pool = pools_[pool_index];
-  auto intent = std::make_unique<ScaleOutRequest>();
-  // The term in the name: no other leader can ever use it again.
-  intent->request_id = "r-" + std::to_string(term_) + "-" + std::to_string(next_request_number_++);
-  intent->type = job_store_->types[pool.type];
-  intent->zone = job_store_->zones[pool.zone];
-  intent->spot = pool.spot;
-  intent->count = count;
-  spdlog::info("machines={} type={}{} zone={} request={}: scale-out requested: {}", intent->count,
-               intent->type, pool.spot ? " (spot)" : "", intent->zone, intent->request_id, why);
-  const std::string text = EncodeRequest(*intent);
-  intent->record_id = record_store_->Add(text, text.size(), WritePriority::kImmediate);
-  requests_.push_back(std::move(intent));
+  auto request = std::make_unique<ScaleOutRequest>();
+  // The term makes the ID unique: no other leader can use it.
+  request->request_id = "r-" + std::to_string(term_) + "-" + std::to_string(next_request_number_++);
+  request->type = job_store_->types[pool.type];
+  request->zone = job_store_->zones[pool.zone];
+  request->spot = pool.spot;
+  request->count = count;
+  spdlog::info("machines={} type={}{} zone={} request={}: scale-out requested: {}", request->count,
+               request->type, pool.spot ? " (spot)" : "", request->zone, request->request_id,
+               reason);
+  const std::string text = EncodeRequest(*request);
+  request->record_id = record_store_->Add(text, text.size(), WritePriority::kImmediate);
+  requests_.push_back(std::move(request));
 }
 
-void Provisioner::SendScaleOut(ScaleOutRequest* intent) {
-  intent->in_flight = true;
-  cloud_->ScaleOut(intent->request_id, intent->type, intent->zone, intent->spot, intent->count,
-                   [this, request = intent->request_id](const ScaleOutResponse& response) {
-                     HandleScaleOutResponse(request, response);
+void Provisioner::SendScaleOut(ScaleOutRequest* request) {
+  request->in_flight = true;
+  cloud_->ScaleOut(request->request_id, request->type, request->zone, request->spot, request->count,
+                   [this, request_id = request->request_id](const ScaleOutResponse& response) {
+                     HandleScaleOutResponse(request_id, response);
                    });
 }
 
-void Provisioner::HandleScaleOutResponse(const std::string& request,
+void Provisioner::HandleScaleOutResponse(const std::string& request_id,
                                          const ScaleOutResponse& response) {
   auto it = std::find_if(requests_.begin(), requests_.end(),
-                         [&request](const auto& i) { return i->request_id == request; });
+                         [&request_id](const auto& i) { return i->request_id == request_id; });
   if (it == requests_.end()) return;
-  ScaleOutRequest& intent = **it;
+  ScaleOutRequest& request = **it;
   const double now = clock_->Now();
-  intent.in_flight = false;
+  request.in_flight = false;
   if (!response.ok && !response.out_of_capacity && !response.malformed) {
-    // Carried out or not: the same name asks again, and rents nothing twice.
-    intent.retry_after = now + 1.0;
+    // The cloud may have carried out the request. A retry with the same ID creates no machine
+    // twice.
+    request.retry_after = now + 1.0;
     return;
   }
-  const auto got = static_cast<int>(response.machines.size());
-  if (MachinePool* pool = FindPool(intent.type, intent.zone, intent.spot)) {
-    if (got < intent.count) {
+  const auto granted = static_cast<int>(response.machines.size());
+  if (MachinePool* pool = FindPool(request.type, request.zone, request.spot)) {
+    if (granted < request.count) {
       pool->backoff_s =
           std::clamp(pool->backoff_s * 2, options_.min_backoff_s, options_.max_backoff_s);
       pool->backoff_until = now + pool->backoff_s;
       spdlog::info("zone={} type={}{} granted={} requested={} backoff_s={}: out of capacity",
-                   intent.zone, intent.type, intent.spot ? " (spot)" : "", got, intent.count,
-                   pool->backoff_s);
+                   request.zone, request.type, request.spot ? " (spot)" : "", granted,
+                   request.count, pool->backoff_s);
     } else {
       pool->backoff_s = 0;
     }
@@ -258,9 +261,9 @@
     if (machine_index == kNoIndex) machine_index = fleet_->Add(name);
     Machine& machine = (*fleet_)[machine_index];
     if (machine.type == kNoIndex) {
-      machine.type = job_store_->types.Add(intent.type);
-      machine.zone = job_store_->zones.Add(intent.zone);
-      machine.spot = intent.spot;
+      machine.type = job_store_->types.Add(request.type);
+      machine.zone = job_store_->zones.Add(request.zone);
+      machine.spot = request.spot;
       machine.provisioned_at_wall = clock_->Wall();
     }
     if (!machine.may_run_former_attempts && !machine.up) machine.reconciled = true;
@@ -268,7 +271,7 @@
     machine.capacity_stale = true;
     SaveMachine(machine_index, WritePriority::kImmediate);
   }
-  record_store_->Remove(intent.record_id);
+  record_store_->Remove(request.record_id);
   requests_.erase(it);
   fleet_->placement_needed = true;
 }
@@ -314,34 +317,36 @@
   return machine_index;
 }
 
-void Provisioner::ScaleIn(MachineIndex machine_index, const char* why) {
+void Provisioner::ScaleIn(MachineIndex machine_index, const char* reason) {
   Machine& machine = (*fleet_)[machine_index];
   if (machine.scaling_in || machine.removed) return;
   machine.scaling_in = machine.unschedulable = true;
   next_scale_in_at_ = std::min(next_scale_in_at_, clock_->Now());
-  spdlog::info("machine={}: scale-in: {}", machine.name, why);
+  spdlog::info("machine={}: scale-in: {}", machine.name, reason);
 }
 
 void Provisioner::SendScaleIn() {
   std::vector<std::string> names;
-  std::vector<MachineIndex> which;
+  std::vector<MachineIndex> machine_indices;
   for (MachineIndex i : fleet_->active()) {
     const Machine& machine = (*fleet_)[i];
     if (names.size() >= kMaxScaleInBatch) break;
     if (!machine.scaling_in) continue;
     names.push_back(machine.name);
-    which.push_back(i);
+    machine_indices.push_back(i);
   }
   if (names.empty()) return;
   scale_in_in_flight_ = true;
-  cloud_->ScaleIn(names, [this, which](bool ok) {
+  cloud_->ScaleIn(names, [this, machine_indices](bool ok) {
     scale_in_in_flight_ = false;
-    // More are waiting: what may run on them is held up until they are gone.
-    next_scale_in_at_ = clock_->Now() + (ok && which.size() == kMaxScaleInBatch ? 0.05 : 0.5);
+    // After a full batch more machines may wait. They are released soon, since tasks that may still
+    // run on them can't be restarted elsewhere until then.
+    next_scale_in_at_ =
+        clock_->Now() + (ok && machine_indices.size() == kMaxScaleInBatch ? 0.05 : 0.5);
     if (!ok) return;
-    for (MachineIndex i : which) {
+    for (MachineIndex i : machine_indices) {
       Machine& machine = (*fleet_)[i];
-      fleet_->RemoveMachine(i, "returned");
+      fleet_->RemoveMachine(i, "released to the cloud");
       if (machine.record_id != kNoRecord) record_store_->Remove(machine.record_id);
       machine.record_id = kNoRecord;
     }
@@ -389,14 +394,14 @@
       if (row.state == InstanceState::kFailed) {
         machine_index = fleet_->Add(row.name);
         (*fleet_)[machine_index].reconciled = true;
-        ScaleIn(machine_index, "failed, and not known here");
+        ScaleIn(machine_index, "failed, and not in the fleet");
         continue;
       }
-      // A rental whose answer is still on its way names it soon; but on a large
-      // fleet there is always one.
+      // The response to a pending scale-out request may name the instance soon. The wait is
+      // bounded, since a large fleet always has a pending request.
       if (HasPendingRequests() && row.age_s < options_.list_lag_s * 3) continue;
-      // The list may be older than this term: a machine that the former leader
-      // returned is still on it. One that is there reports anyway.
+      // The list may be older than this term and still hold machines that the former leader
+      // released. A machine that exists sends heartbeats in any case.
       if (clock_->Now() - started_at_ < options_.list_lag_s * 2 + 1) continue;
       machine_index = fleet_->Add(row.name);
       Machine& machine = (*fleet_)[machine_index];
@@ -422,14 +427,14 @@
   }
 }
 
-void Provisioner::Tick(bool trusted) {
+void Provisioner::Tick(bool lease_valid) {
   const double now = clock_->Now();
-  if (!trusted) return;
-  for (auto& intent : requests_) {
-    // Durable before the cloud hears of it, or its machines could be forgotten.
-    if (!intent->in_flight && now >= intent->retry_after &&
-        record_store_->IsDurable(intent->record_id)) {
-      SendScaleOut(intent.get());
+  if (!lease_valid) return;
+  for (auto& request : requests_) {
+    // Sent only once it is durable; otherwise a failover could lose track of its machines.
+    if (!request->in_flight && now >= request->retry_after &&
+        record_store_->IsDurable(request->record_id)) {
+      SendScaleOut(request.get());
     }
   }
   if (!scale_in_in_flight_ && now >= next_scale_in_at_) SendScaleIn();
--- a/src/cloud/provisioner.h
+++ b/src/cloud/provisioner.h
@@ -1,4 +1,4 @@
-// Machines in the cloud: rents them, learns of them, returns them.
+// Provisioning of machines in the cloud: scale-out, scale-in, and discovery of existing instances.
 #pragma once
 
 #include <memory>
@@ -12,13 +12,13 @@
 
 struct ProvisionerOptions {
   double list_interval_s = 4;
-  double list_lag_s = 8;
+  double list_lag_s = 8;  // age of the instance list; sometimes twice as much
   double types_interval_s = 45;
-  double min_backoff_s = 6;  // a pool that refused is left alone this long, doubling
+  double min_backoff_s = 6;  // of a pool that is out of capacity; doubles up to the maximum
   double max_backoff_s = 30;
 };
 
-// A type in a zone, ordinary or spot.
+// A machine type in a zone, ordinary or spot.
 struct MachinePool {
   uint32_t type = 0;
   uint32_t zone = 0;
@@ -32,26 +32,28 @@
   Provisioner(CloudProvider* cloud, RecordStore* record_store, Fleet* fleet, JobStore* job_store,
               const Clock* clock, uint64_t term, ProvisionerOptions options);
 
-  // Reads one row if it is one of ours.
+  // Loads a stored record if it holds machine types, a machine or a scale-out request; otherwise
+  // returns false.
   bool LoadRecord(RecordId record_id, const std::string& text);
-  // What was rented for an earlier leader is asked for once more, by name.
+  // Starts polling the cloud. Scale-out requests of an earlier leader are sent again under their
+  // IDs.
   void Start();
-  void Tick(bool trusted);
+  void Tick(bool lease_valid);
 
   bool types_known() const { return !types_.empty(); }
   const std::vector<MachineType>& types() const { return types_; }
   std::vector<MachinePool>& pools() { return pools_; }
-  // Index in types() by the book's name index; kNone if not offered.
+  // The machine type with this index in JobStore::types; null if it is not offered.
   const MachineType* TypeOf(uint32_t type) const;
-  // Machines asked for and not named yet.
+  // Number of machines that were requested and that the cloud has not named yet.
   int PendingMachines(uint32_t pool_index) const;
   bool HasPendingRequests() const { return !requests_.empty(); }
 
-  void ScaleOut(uint32_t pool_index, int count, const std::string& why);
-  void ScaleIn(MachineIndex machine_index, const char* why);
-  // A machine reported that nobody knows.
+  void ScaleOut(uint32_t pool_index, int count, const std::string& reason);
+  void ScaleIn(MachineIndex machine_index, const char* reason);
+  // Adds an unknown machine that sent a heartbeat.
   MachineIndex AddUnexpectedMachine(const Heartbeat& heartbeat);
-  // Keeps what is known of a machine; false until that is durable.
+  // Writes the machine's record.
   void SaveMachine(MachineIndex machine_index, WritePriority priority);
 
  private:
@@ -68,9 +70,9 @@
   };
 
   void SetTypes(std::vector<MachineType> types);
-  std::string EncodeRequest(const ScaleOutRequest& intent) const;
-  void SendScaleOut(ScaleOutRequest* intent);
-  void HandleScaleOutResponse(const std::string& request, const ScaleOutResponse& response);
+  std::string EncodeRequest(const ScaleOutRequest& request) const;
+  void SendScaleOut(ScaleOutRequest* request);
+  void HandleScaleOutResponse(const std::string& request_id, const ScaleOutResponse& response);
   void SendScaleIn();
   void RefreshTypes();
   void RefreshInstances(const std::string& after);
@@ -86,7 +88,7 @@
   ProvisionerOptions options_;
   std::vector<MachineType> types_;
   RecordId types_record_ = kNoRecord;
-  std::vector<const MachineType*> type_of_;  // by the book's name index
+  std::vector<const MachineType*> types_by_index_;  // by index in JobStore::types
   std::vector<MachinePool> pools_;
   std::vector<std::unique_ptr<ScaleOutRequest>> requests_;
   uint64_t next_request_number_ = 1;
--- a/src/leader/admission_control.cc
+++ b/src/leader/admission_control.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr double kLimitLogIntervalSeconds = 60;
-// Absorbs the rounding of fractional resources.
+// Absorbs rounding errors of fractional resources.
 constexpr double kResourceTolerance = 1e-6;
 
 template <typename T>
@@ -75,7 +75,7 @@
 Infeasibility AdmissionControl::CheckTeamLimits(const JobSpec& spec) const {
   const Team* team = FindTeam(*settings_, spec.team);
   if (team == nullptr) return Infeasibility::kUnknownTeam;
-  // Tasks of an array may run one after the other.
+  // Tasks of an array may run one after another; those of services and gangs run concurrently.
   const double concurrent_tasks = spec.service || spec.gang ? spec.task_count : 1;
   if (team->cores_max > 0 && spec.cores * concurrent_tasks > team->cores_max + kResourceTolerance) {
     return Infeasibility::kTeamCoreLimit;
--- a/src/leader/admission_control.h
+++ b/src/leader/admission_control.h
@@ -1,8 +1,8 @@
-// Admission control: which submitted jobs the leader takes.
+// Admission control: decides which submitted jobs the leader accepts.
 //
-// A job is infeasible when it could not run even on an otherwise empty fleet; that verdict is
-// final. An admission limit protects the controller's memory and connections; it may pass, and
-// the user is told to retry. Owned by Leader; changes no job and no machine.
+// A job is infeasible if it could not run even on an otherwise empty fleet; such a refusal is
+// final. Admission limits protect the controller's memory and connections; they are temporary, so
+// the user is asked to retry. Owned by Leader; changes no job and no machine.
 #pragma once
 
 #include <cstddef>
@@ -14,17 +14,17 @@
 
 namespace deckhall {
 
-// Why a job can never run.
+// The reason that a job can never run.
 enum class Infeasibility {
   kNone,
   kUnknownTeam,
-  kTeamCoreLimit,  // its tasks that run at once need more cores than the team may use
-  kTeamGpuLimit,   // the same for gpus
-  kNoMachineType,  // no offered machine type that it allows can hold one of its tasks
-  kSpecTooLarge,   // its record would exceed the state service's value size
+  kTeamCoreLimit,  // its concurrent tasks need more cores than the team may use
+  kTeamGpuLimit,   // its concurrent tasks need more GPUs than the team may use
+  kNoMachineType,  // one of its tasks fits none of the offered machine types that it allows
+  kSpecTooLarge,   // its record would exceed the state service's limit for values
 };
 
-// Why no further job is taken at this moment.
+// The reason that no further job is accepted at the moment.
 enum class AdmissionLimit {
   kNone,
   kActiveJobs,
@@ -32,7 +32,7 @@
   kPendingResponses,
 };
 
-// The error text that the user gets; empty for kNone. Part of the HTTP API: PROTOCOL,
+// The error text sent to the user; empty for kNone. Part of the HTTP API: PROTOCOL,
 // "POST /api/jobs".
 const char* Describe(Infeasibility infeasibility);
 const char* Describe(AdmissionLimit limit);
@@ -42,10 +42,10 @@
   AdmissionControl(const JobStore* job_store, const Provisioner* provisioner, const Clock* clock,
                    const Settings* settings);
 
-  // Whether such a job could ever run. The machine types must be known.
+  // Returns why such a job could never run, or kNone. The machine types must be known.
   Infeasibility CheckFeasibility(const JobSpec& spec) const;
-  // The limit that one more such job would exceed, given how many users wait for a response.
-  // Logs, at most once a minute, that submissions are refused.
+  // Returns the limit that one more such job would exceed, or kNone. `pending_responses` is the
+  // number of users who wait for a response. Logs refusals at most once a minute.
   AdmissionLimit CheckLimits(const JobSpec& spec, size_t pending_responses);
 
  private:
--- a/src/leader/attempt_exit_handler.cc
+++ b/src/leader/attempt_exit_handler.cc
@@ -11,16 +11,18 @@
 constexpr double kNoCapacityBackoffSeconds = 2;
 constexpr double kRefusalBackoffSeconds = 1;
 constexpr size_t kRememberedFailedMachines = 16;
-// A job that failed on more machines than this is rather at fault itself.
-constexpr size_t kMaxMachinesToBlame = 2;
+// Failures of a job that failed on more machines than this are not attributed to the machines.
+constexpr size_t kMaxMachinesBeforeJobFault = 2;
 constexpr int kFailuresToQuarantine = 2;
-constexpr int kQuarantineSeconds = 20;  // the first time; grows by as much each time
-// From the first number of failures in a row a job backs off, doubling up to the second.
+constexpr int kQuarantineSeconds = 20;  // of the first quarantine; each further one adds as much
+// A job backs off from this many consecutive failures; the backoff doubles up to
+// kFailuresAtMaxBackoff of them.
 constexpr uint32_t kFailuresToBackOff = 3;
-constexpr uint32_t kFailuresOfLongestBackoff = 9;
+constexpr uint32_t kFailuresAtMaxBackoff = 9;
 constexpr double kMaxFailureBackoffSeconds = 60;
-// A replica does not complete, so no success clears its failures.
-constexpr double kProvenServiceSeconds = 30;
+// A replica does not complete, so no success clears its failures: running this long after the last
+// one does.
+constexpr double kStableServiceSeconds = 30;
 
 }  // namespace
 
@@ -43,7 +45,7 @@
       break;
     case ExitReason::kNoRoom:
       machine.no_room_until = clock_->Now() + kNoCapacityBackoffSeconds;
-      spdlog::info("machine={} task={}: refused: insufficient capacity", machine.name,
+      spdlog::info("machine={} task={}: attempt refused: insufficient capacity", machine.name,
                    attempt.task_name);
       break;
     case ExitReason::kInUse:
@@ -55,7 +57,7 @@
       break;
     case ExitReason::kGangMemberLost:
     case ExitReason::kGangIncomplete:
-      // Neither the machine's nor the job's fault: the gang restarts as a whole.
+      // Neither the machine nor the job is at fault: the gang restarts as a whole.
     case ExitReason::kStopped:
     case ExitReason::kNone:
       break;
@@ -77,24 +79,26 @@
 void AttemptExitHandler::RecordRefusal(const Machine& machine, const TaskAttempt& attempt) {
   Job& job = (*job_store_)[attempt.job];
   job.backoff_until = std::max(job.backoff_until, clock_->Now() + kRefusalBackoffSeconds);
-  spdlog::info("machine={} task={}: refused: {}", machine.name, attempt.task_name,
-               attempt.exit_reason == ExitReason::kInUse ? "in use" : "unknown");
+  spdlog::info("machine={} task={}: attempt refused: {}", machine.name, attempt.task_name,
+               attempt.exit_reason == ExitReason::kInUse
+                   ? "another attempt of the task is active there"
+                   : "unknown job or task");
 }
 
 void AttemptExitHandler::RecordFailure(MachineIndex machine_index, const TaskAttempt& attempt) {
   Machine& machine = (*fleet_)[machine_index];
   Job& job = (*job_store_)[attempt.job];
   const bool first_on_machine = CountJobFailure(&job, machine_index);
-  if (job.failed_machines.size() <= kMaxMachinesToBlame && first_on_machine) {
+  if (job.failed_machines.size() <= kMaxMachinesBeforeJobFault && first_on_machine) {
     ++machine.task_failures;
   }
   if (job.consecutive_failures >= kFailuresToBackOff) {
     const uint32_t doublings =
-        std::min(job.consecutive_failures, kFailuresOfLongestBackoff) - kFailuresToBackOff;
+        std::min(job.consecutive_failures, kFailuresAtMaxBackoff) - kFailuresToBackOff;
     job.backoff_until =
         clock_->Now() + std::min(kMaxFailureBackoffSeconds, std::pow(2.0, doublings));
   }
-  spdlog::info("machine={} task={} job_failures={} machine_failures={}: failed", machine.name,
+  spdlog::info("machine={} task={} job_failures={} machine_failures={}: task failed", machine.name,
                attempt.task_name, job.consecutive_failures, machine.task_failures);
   QuarantineIfFailing(&machine);
 }
@@ -118,15 +122,15 @@
   ++machine->quarantine_count;
   const int seconds = kQuarantineSeconds * machine->quarantine_count;
   machine->quarantined_until = clock_->Now() + seconds;
-  spdlog::warn("machine={} seconds={}: quarantined", machine->name, seconds);
+  spdlog::warn("machine={} seconds={}: machine quarantined", machine->name, seconds);
 }
 
-void AttemptExitHandler::ClearFailuresOfProvenServices() {
+void AttemptExitHandler::ClearFailuresOfStableServices() {
   const double now = clock_->Now();
   for (JobIndex job_index : job_store_->active_jobs()) {
     Job& job = (*job_store_)[job_index];
     if (!job.spec.service || job.consecutive_failures == 0) continue;
-    if (job.tasks_running > 0 && now - job.last_failure_at > kProvenServiceSeconds) {
+    if (job.tasks_running > 0 && now - job.last_failure_at > kStableServiceSeconds) {
       job.consecutive_failures = 0;
     }
   }
--- a/src/leader/autoscaler.cc
+++ b/src/leader/autoscaler.cc
@@ -6,12 +6,14 @@
 namespace deckhall {
 namespace {
 
-// Beyond Tuning::late_boot nominal boot times.
+// Added to Tuning::late_boot nominal boot times; a machine that boots longer is not counted as
+// capacity.
 constexpr double kBootMarginSeconds = 5;
-constexpr double kDefaultBootSeconds = 60;
+constexpr double kDefaultBootSeconds = 60;  // for machine types that the cloud does not offer
+// A machine with this many unanswered probes counts as unreachable.
 constexpr int kUnreachableProbes = 2;
-// A machine quarantined so often is scaled in once it is empty.
-constexpr int kUselessQuarantines = 2;
+// A machine with this many quarantines since its last success is scaled in once it is empty.
+constexpr int kQuarantinesToScaleIn = 2;
 constexpr size_t kReasonBytes = 160;
 
 }  // namespace
@@ -58,7 +60,7 @@
   return offering;
 }
 
-// Machines that were requested count as booting.
+// Requested machines that the cloud has not named yet count as booting.
 void Autoscaler::AddPool(uint32_t pool_index, Supply* supply) const {
   InstanceOffering offering = OfferingOf(provisioner_->pools()[pool_index]);
   const int pending = provisioner_->PendingMachines(pool_index);
@@ -84,7 +86,8 @@
 void Autoscaler::AddMachine(MachineIndex machine_index, Supply* supply) const {
   const Machine& machine = (*fleet_)[machine_index];
   if (machine.scaling_in) return;
-  // A machine that only a heartbeat named may not exist any more: the heartbeat may be a late copy.
+  // A machine known only from a heartbeat may no longer exist: the heartbeat may be a delayed
+  // duplicate.
   const bool confirmed = machine.registered || machine.may_run_former_attempts ||
                          (machine.reconciled && Fleet::HasAcknowledgedToken(machine));
   if (!confirmed) return;
@@ -128,22 +131,22 @@
   }
 }
 
-const char* Autoscaler::UselessReason(const Machine& machine) const {
-  if (machine.preemption_at >= 0) return "preemption notice, and empty";
-  if (provisioner_->TypeOf(machine.type) == nullptr) return "its type is not offered";
-  if (machine.quarantine_count >= kUselessQuarantines) return "fails the tasks it starts";
+const char* Autoscaler::ScaleInReason(const Machine& machine) const {
+  if (machine.preemption_at >= 0) return "empty, with a preemption notice";
+  if (provisioner_->TypeOf(machine.type) == nullptr) return "its machine type is not offered";
+  if (machine.quarantine_count >= kQuarantinesToScaleIn) return "quarantined repeatedly";
   if (machine.consolidating) return "consolidated";
   if (machine.scale_in_when_empty && machine.attempts.empty()) return "drained";
   return nullptr;
 }
 
-bool Autoscaler::ScaleInIfUseless(MachineIndex machine_index, double boot_s) {
+bool Autoscaler::ScaleInIfUnneeded(MachineIndex machine_index, double boot_s) {
   Machine& machine = (*fleet_)[machine_index];
   const double now = clock_->Now();
   if (!machine.up) {
     if (clock_->Wall() - machine.provisioned_at_wall > boot_s * tuning_->give_up_boot &&
         now - machine.discovered_at > boot_s) {
-      provisioner_->ScaleIn(machine_index, "does not come up");
+      provisioner_->ScaleIn(machine_index, "boot timed out");
     }
     return true;
   }
@@ -152,14 +155,14 @@
     return true;
   }
   if (machine.idle_since < 0) machine.idle_since = now;
-  const char* reason = UselessReason(machine);
+  const char* reason = ScaleInReason(machine);
   if (reason != nullptr) provisioner_->ScaleIn(machine_index, reason);
   return reason != nullptr;
 }
 
-Autoscaler::Waiting Autoscaler::CollectWaiting() const {
+Autoscaler::WaitingDemand Autoscaler::CollectWaitingDemand() const {
   const double now = clock_->Now();
-  Waiting waiting;
+  WaitingDemand waiting;
   for (JobIndex job_index : job_store_->active_jobs()) {
     const Job& job = (*job_store_)[job_index];
     if (job.waiting_tasks.empty() || now < job.backoff_until) continue;
@@ -172,7 +175,7 @@
 
 void Autoscaler::ScaleInIdle() {
   const double now = clock_->Now();
-  const Waiting waiting = CollectWaiting();
+  const WaitingDemand waiting = CollectWaitingDemand();
   const double kept_cores = free_capacity_->headroom() + free_capacity_->planned_cores();
   double free_ordinary = free_capacity_->free_ordinary() + free_capacity_->preemptible_reserve();
   for (MachineIndex machine_index : fleet_->active()) {
@@ -180,7 +183,7 @@
     if (machine.scaling_in || machine.partitioned) continue;
     const MachineType* type = provisioner_->TypeOf(machine.type);
     const double boot_s = type == nullptr ? kDefaultBootSeconds : type->boot_s;
-    if (ScaleInIfUseless(machine_index, boot_s)) continue;
+    if (ScaleInIfUnneeded(machine_index, boot_s)) continue;
     const double idle_s = now - machine.idle_since;
     if (machine.spot) {
       if (idle_s > tuning_->idle_spot_boots * boot_s && waiting.cores <= 0) {
--- a/src/leader/autoscaler.h
+++ b/src/leader/autoscaler.h
@@ -1,8 +1,9 @@
-// Autoscaling: decides which machines there should be, and asks the provisioner for them.
+// Autoscaling: decides how many machines of each pool the fleet needs, and instructs the
+// provisioner.
 //
-// Scales out for demand that the present machines don't cover, scales in machines that are idle or
-// useless, and consolidates thinly used ones. Owned by the leader, which calls Plan() every
-// Tuning::autoscale_interval_s.
+// Scales out for demand that exceeds the capacity of the fleet, scales in machines that are idle or
+// unsuitable for tasks, and consolidates machines with low utilization. Owned by Leader, which
+// calls Plan() every Tuning::autoscale_interval_s.
 #pragma once
 
 #include <vector>
@@ -23,20 +24,20 @@
              const EvictionController* eviction_controller, const Clock* clock,
              const Settings* settings, const Tuning* tuning);
 
-  // Requests and returns machines, as of now.
+  // Scales out and in for the present demand.
   void Plan();
 
  private:
-  // What can be scaled out, and what is there already.
+  // The pools that can be scaled out, and the capacity that exists already.
   struct Supply {
     std::vector<InstanceOffering> offerings;  // one for each pool of the provisioner, in its order
-    std::vector<MachineCapacity> bins;        // free capacity, of booting machines too
-    int machines = 0;                         // that count for the fleet's limit
+    std::vector<MachineCapacity> bins;        // free capacity, including that of booting machines
+    int machines = 0;                         // count towards the fleet's size limit
   };
 
-  // What waits, as far as it keeps machines from being scaled in.
-  struct Waiting {
-    bool services = false;
+  // Demand of waiting tasks that keeps idle machines from being scaled in.
+  struct WaitingDemand {
+    bool services = false;  // whether tasks of services wait
     double cores = 0;
   };
 
@@ -44,16 +45,16 @@
   InstanceOffering OfferingOf(const MachinePool& pool) const;
   void AddPool(uint32_t pool_index, Supply* supply) const;
   void AddMachine(MachineIndex machine_index, Supply* supply) const;
-  // Whether tasks will be able to use the machine's free capacity soon.
+  // Whether tasks can use the machine's free capacity now or soon.
   bool WillBeUsable(const Machine& machine, const MachineCapacity& capacity) const;
   void ScaleOut();
-  Waiting CollectWaiting() const;
+  WaitingDemand CollectWaitingDemand() const;
   void ScaleInIdle();
-  // Scales machines in that are of no more use, however much waits. Returns whether the machine
-  // is none that may be idle.
-  bool ScaleInIfUseless(MachineIndex machine_index, double boot_s);
-  // Why an empty machine is of no use; null: it is.
-  const char* UselessReason(const Machine& machine) const;
+  // Scales in a machine that is no longer useful, regardless of waiting demand. Returns false if
+  // the machine is idle but useful, so that ScaleInIdle() may still release it.
+  bool ScaleInIfUnneeded(MachineIndex machine_index, double boot_s);
+  // The reason to release an empty machine regardless of waiting demand; null if there is none.
+  const char* ScaleInReason(const Machine& machine) const;
 
   JobStore* job_store_;
   Fleet* fleet_;
--- a/src/leader/command_dispatcher.cc
+++ b/src/leader/command_dispatcher.cc
@@ -12,9 +12,10 @@
 constexpr double kCommandTimeoutSeconds = 1.5;
 constexpr double kMinCommandBurst = 20;
 constexpr double kCommandBurstsPerSecond = 4;
-// Lets a command go out although the budget is used up: it is checked before each machine.
+// A command is sent even if the budget is used up: PushPendingCommands() checks the budget before
+// each machine.
 constexpr double kUnlimitedDebt = -1e9;
-// Backoff of a machine that does not respond; doubles up to the largest.
+// Backoff of a machine that does not respond; doubles up to kMaxCommandBackoffSeconds.
 constexpr double kCommandBackoffSeconds = 0.25;
 constexpr int kMaxCommandBackoffDoublings = 6;
 constexpr double kMaxCommandBackoffSeconds = 4;
@@ -50,11 +51,11 @@
   ++work_units_;
   // Also called for responses, which may arrive after the lease has expired.
   if (!deps_.lease->IsLeaseValid() || !MaySendNow(machine)) return;
-  const bool greet = !machine.reconciled && (machine.may_run_former_attempts || machine.up);
+  const bool send_token = !machine.reconciled && (machine.may_run_former_attempts || machine.up);
   const bool may_launch = deps_.lease_expiry_bounds->HasNoBound(machine_index);
-  if (!greet && (!machine.up || !deps_.fleet->HasCommands(machine_index, may_launch))) return;
+  if (!send_token && (!machine.up || !deps_.fleet->HasCommands(machine_index, may_launch))) return;
   const std::vector<Command> commands = deps_.fleet->BuildCommands(machine_index, may_launch);
-  if (commands.empty() && !greet && Fleet::HasAcknowledgedToken(machine)) return;
+  if (commands.empty() && !send_token && Fleet::HasAcknowledgedToken(machine)) return;
   Send(machine_index, commands);
 }
 
@@ -83,7 +84,7 @@
     return;
   }
   if (!deps_.heartbeat_validator->IsPlausible(response.heartbeat)) {
-    // Returned as unreachable if it stays so.
+    // A machine whose heartbeats stay implausible counts as unreachable and is scaled in.
     machine.command_backoff_until = now + kMaxCommandBackoffSeconds;
     deps_.fleet->RecordUnreachable(machine_index);
     return;
--- a/src/leader/command_dispatcher.h
+++ b/src/leader/command_dispatcher.h
@@ -1,10 +1,10 @@
-// Commands sent straight to workers, between their heartbeats.
+// Sends commands directly to workers, between their heartbeats.
 //
-// Sends each changed machine its launches, stops and clears, and greets machines that are not
-// reconciled with this term's fencing token. At most one request per machine is in flight.
-// Nothing is sent without a valid lease, and no launch while a bound on the machine's lease expiry
-// is in effect. A command that was sent and not answered may still arrive: the machine's fencing
-// token is then raised before the next. Direct commands renew no lease. Owned by Leader.
+// Sends each changed machine its launches, stops and clears, and announces this term's fencing
+// token to machines that are not reconciled. At most one request per machine is in flight. Nothing
+// is sent without a valid lease, and no launch while a bound on the machine's lease expiry is in
+// effect. A command that got no response may still arrive, so the machine's fencing token is raised
+// before the next one. Direct commands renew no lease. Owned by Leader.
 // PROTOCOL: "POST /do", "Delayed messages".
 #pragma once
 
@@ -36,11 +36,12 @@
   CommandDispatcher(const Dependencies& dependencies, const Settings& settings,
                     const Tuning& tuning);
 
-  // Pushes commands to changed machines, as far as the budget allows at this steady time.
+  // Sends commands to changed machines, as far as the budget allows. `now` is steady time, in
+  // seconds.
   void PushPendingCommands(double now);
-  // Responses that are still to come are ignored.
+  // Ignores responses that arrive later.
   void Stop() { stopped_ = true; }
-  // Machines looked at so far, to bound the work as the fleet grows.
+  // Machines checked so far; tests bound the work as the fleet grows.
   uint64_t work_units() const { return work_units_; }
 
  private:
@@ -49,7 +50,7 @@
   void Send(MachineIndex machine_index, const std::vector<Command>& commands);
   void HandleResponse(MachineIndex machine_index, const WorkerResponse& response,
                       HeartbeatVersion version);
-  // No response, or one from another machine at this endpoint.
+  // Handles a request without response, or with one from another machine at this endpoint.
   void HandleMissingResponse(MachineIndex machine_index, const WorkerResponse& response);
 
   const Dependencies deps_;
--- a/src/leader/consolidator.cc
+++ b/src/leader/consolidator.cc
@@ -8,12 +8,13 @@
 namespace deckhall {
 namespace {
 
-// Of so many machines one may be consolidated at a time.
+// One machine, and one more for each this many machines, may be consolidated at a time.
 constexpr size_t kMachinesPerConsolidation = 64;
-// A backlog below this share of all cores is ordinary coming and going.
+// A backlog below this share of all cores is normal fluctuation.
 constexpr double kNegligibleBacklogShare = 0.01;
 constexpr double kMinSecondsBetweenMoves = 0.5;
-// Without a move for so long, and with tasks waiting, a machine is given up.
+// When capacity is needed, consolidation of a machine is abandoned if no replica was moved for this
+// long.
 constexpr double kGiveUpAfterSeconds = 3;
 
 }  // namespace
@@ -30,13 +31,13 @@
       tuning_(tuning) {}
 
 void Consolidator::Consolidate() {
-  const bool room_needed = IsRoomNeeded();
+  const bool capacity_needed = IsCapacityNeeded();
   const std::vector<MachineIndex> consolidating = ConsolidatingMachines();
-  ContinueOrGiveUp(consolidating, room_needed);
-  if (!room_needed) Begin(consolidating.size());
+  ContinueOrGiveUp(consolidating, capacity_needed);
+  if (!capacity_needed) StartConsolidations(consolidating.size());
 }
 
-bool Consolidator::IsRoomNeeded() const {
+bool Consolidator::IsCapacityNeeded() const {
   if (fleet_->CountUnreconciled() > 0 || provisioner_->HasPendingRequests()) return true;
   double waiting_cores = 0;
   for (JobIndex job_index : job_store_->active_jobs()) {
@@ -81,21 +82,22 @@
   return candidates;
 }
 
-void Consolidator::ContinueOrGiveUp(const std::vector<MachineIndex>& machines, bool room_needed) {
+void Consolidator::ContinueOrGiveUp(const std::vector<MachineIndex>& machines,
+                                    bool capacity_needed) {
   const double now = clock_->Now();
   for (MachineIndex machine_index : machines) {
     Machine& machine = (*fleet_)[machine_index];
-    const double since_move = now - machine.last_move_at;
-    if (room_needed && now - machine.consolidating_since > kGiveUpAfterSeconds &&
-        since_move > kGiveUpAfterSeconds) {
+    const double seconds_since_move = now - machine.last_move_at;
+    if (capacity_needed && now - machine.consolidating_since > kGiveUpAfterSeconds &&
+        seconds_since_move > kGiveUpAfterSeconds) {
       machine.consolidating = machine.unschedulable = false;
-    } else if (!room_needed && since_move > kMinSecondsBetweenMoves) {
+    } else if (!capacity_needed && seconds_since_move > kMinSecondsBetweenMoves) {
       MoveOneReplica(machine_index);
     }
   }
 }
 
-void Consolidator::Begin(size_t already_consolidating) {
+void Consolidator::StartConsolidations(size_t already_consolidating) {
   const size_t max_machines = 1 + fleet_->active().size() / kMachinesPerConsolidation;
   const double kept_cores = free_capacity_->headroom() * (1 + tuning_->consolidate_spare) +
                             free_capacity_->planned_cores();
@@ -111,12 +113,12 @@
     machine.consolidating = machine.unschedulable = true;
     machine.consolidating_since = clock_->Now();
     ++already_consolidating;
-    spdlog::info("machine={} used_cores={} free_cores_elsewhere={}: consolidation begins",
+    spdlog::info("machine={} used_cores={} free_cores_elsewhere={}: consolidation started",
                  machine.name, candidate.used_cores, free_elsewhere);
   }
 }
 
-bool Consolidator::HasPlaceElsewhere(const Job& job, MachineIndex machine_index) const {
+bool Consolidator::CanPlaceElsewhere(const Job& job, MachineIndex machine_index) const {
   std::vector<uint32_t> machines = job.machines;
   machines.erase(std::find(machines.begin(), machines.end(), machine_index));
   const std::optional<ZoneMask> zones = free_capacity_->AllowedZones(job, machines);
@@ -124,7 +126,7 @@
   ResourceRequest request = free_capacity_->RequestFor(job, *zones, machines);
   request.overdue = false;
   request.cached_only = true;
-  // The machine itself is unschedulable, and so not among these.
+  // The machine itself is unschedulable, so it is not among the candidates.
   const std::vector<uint32_t> candidates = free_capacity_->MachinesWithRoom(job.spec.cores);
   return BestFitQueue(&request, &free_capacity_->capacities(), candidates)
       .PopBest(true)
@@ -139,12 +141,12 @@
       continue;
     }
     const Job& job = (*job_store_)[attempt.job];
-    // Tasks of arrays end by themselves; of a service one replica moves at a time.
+    // Tasks of arrays end by themselves. Of a service only one replica moves at a time.
     if (!job.spec.service || job.tasks_running < job.tasks.size()) continue;
     if (ledger_->BlockedFromEvicting(attempt.job)) continue;
-    if (!HasPlaceElsewhere(job, machine_index)) continue;
-    spdlog::info("task={} machine={}: replica moved for consolidation", attempt.task_name,
-                 machine.name);
+    if (!CanPlaceElsewhere(job, machine_index)) continue;
+    spdlog::info("task={} machine={}: replica stopped, to be moved for consolidation",
+                 attempt.task_name, machine.name);
     fleet_->RequestStop(machine_index, &attempt, 0);
     machine.last_move_at = clock_->Now();
     fleet_->placement_needed = true;
--- a/src/leader/consolidator.h
+++ b/src/leader/consolidator.h
@@ -1,8 +1,8 @@
-// Consolidation: as services end, the remaining replicas are spread thinly over ordinary machines.
-// The least used machines are emptied, a replica at a time, so that they can be scaled in.
+// Consolidation: as services end, the remaining replicas leave ordinary machines underused. The
+// least used machines are emptied, one replica at a time, so that they can be scaled in.
 //
-// Owned by Autoscaler. Keeps its state in Machine::consolidating and the fields beside it; a new
-// leader begins anew. Every move keeps to the disruption budgets.
+// Owned by Autoscaler. Its state is Machine::consolidating and the related fields, which are not
+// stored: a new leader starts over. Every move respects the disruption budgets.
 #pragma once
 
 #include <tuple>
@@ -19,7 +19,7 @@
                const Provisioner* provisioner, const DisruptionLedger* ledger, const Clock* clock,
                const Tuning* tuning);
 
-  // Goes on emptying machines, begins with others, or gives up if their room is needed.
+  // Continues to empty machines and starts with others, or gives up if their capacity is needed.
   void Consolidate();
 
  private:
@@ -33,19 +33,20 @@
     }
   };
 
-  // Whether waiting tasks need the room.
-  bool IsRoomNeeded() const;
+  // Whether free capacity is needed: by waiting tasks, or possibly while machines are unreconciled
+  // or scale-out requests are pending.
+  bool IsCapacityNeeded() const;
   std::vector<MachineIndex> ConsolidatingMachines() const;
-  // Ordinary machines whose tasks all run for a while, the least used first.
+  // Ordinary machines whose tasks have all run for Tuning::settled_s, the least used first.
   std::vector<Candidate> Candidates() const;
   bool IsSettled(const Machine& machine, double now) const;
-  void ContinueOrGiveUp(const std::vector<MachineIndex>& machines, bool room_needed);
-  // Begins with further machines, as long as their tasks fit elsewhere beside the headroom.
-  void Begin(size_t already_consolidating);
-  // Stops one replica that can start elsewhere at once.
+  void ContinueOrGiveUp(const std::vector<MachineIndex>& machines, bool capacity_needed);
+  // Starts with further machines, as long as their tasks fit elsewhere in addition to the headroom.
+  void StartConsolidations(size_t already_consolidating);
+  // Stops one replica that can start on another machine at once.
   void MoveOneReplica(MachineIndex machine_index);
-  // Whether a machine other than its own takes a replica of the job without a fetch.
-  bool HasPlaceElsewhere(const Job& job, MachineIndex machine_index) const;
+  // Whether another machine can take the replica without fetching its image.
+  bool CanPlaceElsewhere(const Job& job, MachineIndex machine_index) const;
 
   JobStore* job_store_;
   Fleet* fleet_;
--- a/src/leader/demand_collector.cc
+++ b/src/leader/demand_collector.cc
@@ -6,6 +6,7 @@
 namespace deckhall {
 namespace {
 
+// A job with this many consecutive failures adds no demand.
 constexpr uint32_t kFailingJobFailures = 3;
 constexpr double kMinTaskCores = 0.1;
 
@@ -18,8 +19,8 @@
          first.spot_tolerant == second.spot_tolerant && types_of(first) == types_of(second);
 }
 
-// Adds to an equal demand behind position `from`, or a new one: the plan's work grows with the
-// number of different requests, not of jobs.
+// Adds to an equal demand at position `from` or later, or appends a new one. The planner's work
+// thus grows with the number of distinct requests, not of jobs.
 void AddDemand(std::vector<ResourceDemand>* demands, size_t from, const ResourceRequest& request,
                uint32_t count) {
   for (size_t i = from; i < demands->size(); ++i) {
@@ -71,7 +72,7 @@
   return request;
 }
 
-bool DemandCollector::WaitsForRoom(const Job& job, double now) {
+bool DemandCollector::WaitsForCapacity(const Job& job, double now) {
   return job.lifecycle == JobLifecycle::kActive && !job.waiting_tasks.empty() &&
          now >= job.backoff_until && job.consecutive_failures < kFailingJobFailures;
 }
@@ -80,7 +81,7 @@
   Backlog backlog;
   for (JobIndex job_index : ranking_->order()) {
     const Job& job = (*job_store_)[job_index];
-    if (!WaitsForRoom(job, now) || job.spec.gang) continue;
+    if (!WaitsForCapacity(job, now) || job.spec.gang) continue;
     const double cores = job.spec.cores * static_cast<double>(job.waiting_tasks.size());
     backlog.cores += cores;
     backlog.core_seconds += cores * ranking_->ExpectedTaskSeconds(job);
@@ -97,7 +98,7 @@
   }
 }
 
-// A replica that a drain evicts next needs its new place before it is stopped.
+// A replica that a drain evicts next needs capacity elsewhere before it is stopped.
 void DemandCollector::AddEvictions(Demands* demands) const {
   for (JobIndex job_index : eviction_controller_->jobs_needing_room()) {
     AddDemand(demands, 0, RequestFor((*job_store_)[job_index]), 1);
@@ -110,7 +111,7 @@
   ResourceRequest request;
   request.cores = replica_cores;
   request.memory_gb = free_capacity_->largest_replica_memory_gb();
-  // What preemptible tasks use on ordinary machines counts as kept.
+  // Cores of ordinary machines that preemptible tasks use count as headroom.
   const double headroom = free_capacity_->headroom();
   const double missing = std::max(0.0, headroom - free_capacity_->preemptible_reserve());
   const auto replicas = static_cast<uint32_t>(std::ceil(missing / replica_cores));
@@ -122,7 +123,7 @@
   const size_t first_gang = demands->size();
   for (JobIndex job_index : ranking_->order()) {
     const Job& job = (*job_store_)[job_index];
-    if (!job.spec.gang || !WaitsForRoom(job, now)) continue;
+    if (!job.spec.gang || !WaitsForCapacity(job, now)) continue;
     if (job.waiting_tasks.size() < job.tasks.size()) continue;
     const auto tasks = static_cast<uint32_t>(job.waiting_tasks.size());
     if (TakeQuota(job, tasks, quota) != tasks) continue;
@@ -140,7 +141,7 @@
   for (JobIndex job_index : ranking_->order()) {
     const Job& job = (*job_store_)[job_index];
     if (cores <= 0) break;
-    if (!WaitsForRoom(job, now) || job.spec.gang) continue;
+    if (!WaitsForCapacity(job, now) || job.spec.gang) continue;
     const double task_cores = std::max(job.spec.cores, kMinTaskCores);
     const double wanted = std::min<double>(static_cast<double>(job.waiting_tasks.size()),
                                            std::ceil(cores / task_cores));
@@ -157,13 +158,13 @@
   QuotaLeft quota = TeamQuotas();
   AddServices(&quota, &result.demands);
   AddEvictions(&result.demands);
-  const double lent_cores = AddHeadroom(&result.demands);
+  const double preemptible_cores = AddHeadroom(&result.demands);
   const Backlog backlog = ArrayBacklog(now);
   result.waiting_array_cores = backlog.cores;
   AddGangs(now, &quota, &result.demands);
-  // As many cores as work the backlog off in the time that operators set.
+  // Enough cores to work off the backlog within Tuning::backlog_drain_s.
   const double array_cores =
-      std::min(backlog.cores, backlog.core_seconds / tuning_->backlog_drain_s) - lent_cores;
+      std::min(backlog.cores, backlog.core_seconds / tuning_->backlog_drain_s) - preemptible_cores;
   AddArrays(now, array_cores, &quota, &result.demands);
   return result;
 }
--- a/src/leader/demand_collector.h
+++ b/src/leader/demand_collector.h
@@ -15,7 +15,7 @@
 class DemandCollector {
  public:
   struct Result {
-    std::vector<ResourceDemand> demands;  // in the order in which they are to be met
+    std::vector<ResourceDemand> demands;  // highest priority first
     double waiting_array_cores = 0;       // of all waiting tasks of arrays
   };
 
@@ -27,7 +27,7 @@
 
  private:
   using Demands = std::vector<ResourceDemand>;
-  // What each team may still use, in cores, as demands take it.
+  // Cores that each team may still use; demands are deducted as they are added.
   using QuotaLeft = std::vector<double>;
 
   // The waiting tasks of arrays.
@@ -37,19 +37,21 @@
   };
 
   QuotaLeft TeamQuotas() const;
-  // Takes the cores of up to `tasks` tasks out of the team's quota; returns for how many it is.
+  // Deducts the cores of up to `tasks` tasks from the team's quota; returns the number of tasks
+  // that the quota allows.
   static uint32_t TakeQuota(const Job& job, uint32_t tasks, QuotaLeft* quota);
   ResourceRequest RequestFor(const Job& job) const;
-  // Whether the job waits for room, and not for a retry.
-  static bool WaitsForRoom(const Job& job, double now);
+  // Whether the job waits for free capacity rather than for a retry.
+  static bool WaitsForCapacity(const Job& job, double now);
   Backlog ArrayBacklog(double now) const;
 
   void AddServices(QuotaLeft* quota, Demands* demands) const;
   void AddEvictions(Demands* demands) const;
-  // Adds what is missing of the headroom. Returns the cores of it that arrays may use meanwhile.
+  // Adds the missing part of the headroom. Returns how many of its cores arrays may use as
+  // preemptible capacity.
   double AddHeadroom(Demands* demands) const;
   void AddGangs(double now, QuotaLeft* quota, Demands* demands) const;
-  // Adds tasks of arrays by rank, for so many cores.
+  // Adds tasks of arrays in rank order, up to `cores`.
   void AddArrays(double now, double cores, QuotaLeft* quota, Demands* demands) const;
 
   const JobStore* job_store_;
--- a/src/leader/ended_job_collector.cc
+++ b/src/leader/ended_job_collector.cc
@@ -15,7 +15,7 @@
 
 void EndedJobCollector::CollectEndedJobs() {
   const double now = clock_->Now();
-  // A copy: dropping a spec removes the job from the list.
+  // Copied, since DropSpec() removes the job from the list.
   const std::vector<JobIndex> ended_jobs = job_store_->ended_jobs();
   for (JobIndex job_index : ended_jobs) {
     if (!IsSpecNeeded((*job_store_)[job_index], now)) job_store_->DropSpec(job_index);
--- a/src/leader/ended_job_collector.h
+++ b/src/leader/ended_job_collector.h
@@ -1,7 +1,7 @@
-// Collection of ended jobs: drops the specs of jobs that are over for good.
+// Garbage collection of ended jobs: drops specs that are no longer needed.
 //
-// A spec is kept until no machine can still run a task of the job, since stops for such tasks are
-// built from it; what users may ask for is kept for ever. Owned by Leader.
+// A spec is kept until no machine can still run a task of the job, since stop commands for such
+// tasks are built from it. The state that users can query is kept for ever. Owned by Leader.
 #pragma once
 
 #include "config/settings.h"
@@ -15,7 +15,7 @@
   EndedJobCollector(JobStore* job_store, const Clock* clock, const Settings* settings)
       : job_store_(job_store), clock_(clock), settings_(settings) {}
 
-  // Drops the specs that are not needed any more.
+  // Drops the specs that are no longer needed.
   void CollectEndedJobs();
 
  private:
--- a/src/leader/job_request_handler.cc
+++ b/src/leader/job_request_handler.cc
@@ -27,7 +27,7 @@
 void JobRequestHandler::HandleJobRequest(const JobRequest& request, ResponseCallback done) {
   const bool lease_valid = deps_.lease->IsLeaseValid();
   const JobIndex job_index = deps_.job_store->Find(request.job_id);
-  // Final states never change: they may be reported without the lease.
+  // Final states never change, so they may be reported without a valid lease.
   if (job_index != kNoIndex && (*deps_.job_store)[job_index].end_acknowledged) {
     done(JobStatusResponse(job_index, kHttpOk));
     return;
@@ -67,7 +67,7 @@
   response.tasks_running = job.tasks_running;
   response.state = job.tasks_running > 0 ? JobState::kRunning : JobState::kPending;
   if (job.lifecycle == JobLifecycle::kActive) return response;
-  // The end is reported only once it is durable.
+  // The end of a job is reported only once it is durable.
   if (!job.end_acknowledged) return response;
   response.state = job.lifecycle == JobLifecycle::kDone ? JobState::kDone : JobState::kCancelled;
   response.tasks_running = 0;
@@ -75,7 +75,7 @@
 }
 
 JobResponse JobRequestHandler::UnknownJobResponse() const {
-  // The job may be on an unreadable page: it can't be denied.
+  // The job may be stored on an unreadable page, so 404 could be wrong.
   if (deps_.record_store->unreadable_pages() > 0) {
     return UnavailableResponse("a page of the state service can't be read");
   }
@@ -88,7 +88,7 @@
     done(JobStatusResponse(job_index, kHttpOk));
     return;
   }
-  // A repeated submission waits for the same commit as the first.
+  // A repeated submission waits for the same commit as the first one.
   if (job_index == kNoIndex) {
     const JobResponse verdict = CheckNewJob(request);
     if (verdict.status != kHttpCreated) {
@@ -144,13 +144,13 @@
   }
   if (job_store[job_index].lifecycle == JobLifecycle::kActive) {
     spdlog::info("job={}: cancelled by its user", request.job_id);
-    // Stopped before the commit: its work is of no use from the moment the user asks.
+    // Tasks are stopped before the commit, since nobody needs their results any more.
     job_store.EndJob(job_index, JobLifecycle::kCancelled, deps_.clock->Now());
     deps_.fleet->RequestStopOfJob(job_index);
     deps_.ranking->Invalidate();
     deps_.fleet->placement_needed = true;
   } else {
-    // It has ended, but not durably yet: the user waits for that.
+    // The job has ended, but its end may not be durable yet; the response waits for that.
     job_store.Save(job_index, WritePriority::kImmediate);
   }
   AddPending(job_index, kHttpOk, std::move(done));
@@ -178,7 +178,7 @@
                  job.spec.estimated_runtime_s, job.spec.deadline_s.value_or(0));
   }
   for (JobIndex job_index : job_store.ended_jobs()) {
-    // Never withdrawn: the record may be rewritten later, the response may not be.
+    // Never reset: a later rewrite of the record does not undo a response already sent.
     if (job_store.IsDurable(job_index)) job_store[job_index].end_acknowledged = true;
   }
 }
--- a/src/leader/job_request_handler.h
+++ b/src/leader/job_request_handler.h
@@ -1,9 +1,10 @@
-// Requests of users about their jobs: submissions, cancellations and status.
+// Handles users' requests about their jobs: submission, cancellation and status.
 //
 // Guarantee: a response that reports a change (201 for a submission, 200 for a cancellation) is
-// sent only after the job's record is durable, and an end that a user was once told of stays told.
-// Without a valid lease nothing but final states is reported, since another leader may have
-// changed the rest. Every request gets exactly one response, at the latest from FailPending().
+// sent only after the job's record is durable, and a final state that was reported once is reported
+// from then on. Without a valid lease only final states are reported, since another leader may have
+// changed any other state. Every request gets exactly one response, at the latest from
+// FailPending().
 // Owned by Leader; the API is PROTOCOL, "Users -> controller nodes".
 #pragma once
 
@@ -35,17 +36,17 @@
 
   explicit JobRequestHandler(const Dependencies& dependencies) : deps_(dependencies) {}
 
-  // Serves one request; all records must be loaded. `done` is called at once or, for a change,
-  // after its commit.
+  // Handles one request; all records must be loaded. `done` is called before this returns or, for
+  // a change, after its commit.
   void HandleJobRequest(const JobRequest& request, ResponseCallback done);
-  // A transaction was committed: acknowledges what is durable now and sends the responses that
-  // waited for it.
+  // Called after each commit: acknowledges jobs that became durable and sends the responses that
+  // waited for them.
   void HandleCommit();
-  // Responds to all pending requests with 503 and this reason.
+  // Answers all pending requests with 503 and this reason.
   void FailPending(const char* reason);
 
  private:
-  // A user who waits for a job's record to become durable.
+  // A response that is sent once the job's record is durable.
   struct PendingResponse {
     JobIndex job;
     ResponseCallback done;
@@ -55,7 +56,7 @@
   void Submit(const JobRequest& request, ResponseCallback done);
   void Cancel(const JobRequest& request, ResponseCallback done);
   void ReportStatus(JobIndex job_index, const ResponseCallback& done) const;
-  // The response that refuses a new job; status 201 when it is admitted.
+  // Returns the response that refuses a new job, or status 201 if the job is admitted.
   JobResponse CheckNewJob(const JobRequest& request);
   JobIndex CreateJob(const JobSpec& spec);
   void AddPending(JobIndex job_index, int status, ResponseCallback done);
--- a/src/leader/leader.cc
+++ b/src/leader/leader.cc
@@ -254,7 +254,7 @@
   }
   gang_supervisor_.CheckGangs();
   eviction_controller_.Tick();
-  attempt_exit_handler_.ClearFailuresOfProvenServices();
+  attempt_exit_handler_.ClearFailuresOfStableServices();
   ended_job_collector_.CollectEndedJobs();
 }
 
