--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -45,9 +45,9 @@
 constexpr NumberField<StateLimits> kStateFields[] = {{"rps", &StateLimits::rps},
                                                      {"write_rps", &StateLimits::write_rps},
                                                      {"value_kb", &StateLimits::value_kb}};
-constexpr NumberField<Team> kTeamFields[] = {{"cpus", &Team::cores},
+constexpr NumberField<Team> kTeamFields[] = {{"cpus", &Team::guaranteed_cores},
                                              {"cpus_max", &Team::cores_max},
-                                             {"gpus", &Team::gpus},
+                                             {"gpus", &Team::guaranteed_gpus},
                                              {"gpus_max", &Team::gpus_max}};
 
 Result<Endpoint, SettingsError> ReadEndpoint(const JsonValue& object, const char* name) {
--- a/src/leader/attempt_exit_handler.cc
+++ b/src/leader/attempt_exit_handler.cc
@@ -42,7 +42,7 @@
       RecordSuccess(&machine, attempt);
       break;
     case ExitReason::kNoRoom:
-      machine.no_room_until = clock_->Now() + kNoCapacityBackoffSeconds;
+      machine.insufficient_capacity_until = clock_->Now() + kNoCapacityBackoffSeconds;
       spdlog::info("machine={} task={}: refused: insufficient capacity", machine.name,
                    attempt.task_name);
       break;
--- a/src/leader/free_capacity.cc
+++ b/src/leader/free_capacity.cc
@@ -60,7 +60,7 @@
                          machine.unreachable_count < kUnreachableProbes && IsHeardRecently(machine);
   const double now = clock_->Now();
   return in_service && schedulable && reachable && known_to_successors &&
-         now >= machine.quarantined_until && now >= machine.no_room_until;
+         now >= machine.quarantined_until && now >= machine.insufficient_capacity_until;
 }
 
 bool FreeCapacity::IsHeardRecently(const Machine& machine) const {
--- a/src/leader/preemptor.cc
+++ b/src/leader/preemptor.cc
@@ -51,7 +51,7 @@
   const bool lower_priority = other.spec.priority < job.spec.priority;
   const bool beyond_guarantee =
       job.guaranteed && !other.guaranteed && other.team != job.team && other_team != nullptr &&
-      free_capacity_->UsageOf(other.team).cores > other_team->cores + kResourceEpsilon;
+      free_capacity_->UsageOf(other.team).cores > other_team->guaranteed_cores + kResourceEpsilon;
   if (!lower_priority && !beyond_guarantee) return false;
   // A better-ranked job would take the freed room again.
   return job.spec.service || other.rank >= job.rank;
--- a/src/leader/ranking.cc
+++ b/src/leader/ranking.cc
@@ -70,9 +70,9 @@
     const auto tasks = static_cast<double>(job.tasks.size());
     sum.cores += tasks * job.spec.cores;
     sum.gpus += tasks * job.spec.gpus;
-    job.guaranteed = team != nullptr && team->cores > 0 &&
-                     sum.cores <= team->cores + kResourceEpsilon &&
-                     sum.gpus <= team->gpus + kResourceEpsilon;
+    job.guaranteed = team != nullptr && team->guaranteed_cores > 0 &&
+                     sum.cores <= team->guaranteed_cores + kResourceEpsilon &&
+                     sum.gpus <= team->guaranteed_gpus + kResourceEpsilon;
   }
 }
 
@@ -94,7 +94,8 @@
   const double priority_weights[] = {tuning_->weight_idle, tuning_->weight_normal,
                                      tuning_->weight_urgent, tuning_->weight_production};
   const Team* team = free_capacity_->TeamOf(job.team);
-  const double team_weight = team != nullptr && team->cores > 0 ? team->cores : 1.0;
+  const double team_weight =
+      team != nullptr && team->guaranteed_cores > 0 ? team->guaranteed_cores : 1.0;
   return team_weight * priority_weights[static_cast<int>(job.spec.priority)];
 }
 
--- a/src/model/name_index.h
+++ b/src/model/name_index.h
@@ -1,7 +1,7 @@
-// Dense indices in place of names.
+// Maps names to dense indices.
 //
-// The control code compares and stores indices only; names are translated where a message or a
-// record is read. Indices are not persisted: each leader assigns its own.
+// The control code compares and stores only indices; names are translated where messages and
+// records are decoded. Indices are not persisted: each leader assigns its own.
 #pragma once
 
 #include <cstdint>
@@ -19,18 +19,18 @@
 // a name keeps its index for the life of this object.
 class NameIndex {
  public:
-  // The index of `name`, assigned now if it is a new one.
+  // Returns the index of `name`; assigns one if the name is new.
   uint32_t Add(const std::string& name) {
     auto [entry, inserted] = index_.emplace(name, static_cast<uint32_t>(names_.size()));
     if (inserted) names_.push_back(name);
     return entry->second;
   }
-  // The index of `name`; kNoIndex if it was never added.
+  // Returns the index of `name`, or kNoIndex if it was never added.
   uint32_t Find(const std::string& name) const {
     auto entry = index_.find(name);
     return entry == index_.end() ? kNoIndex : entry->second;
   }
-  // The name with this index, which must be less than size().
+  // Returns the name at `index`, which must be less than size().
   const std::string& operator[](uint32_t index) const { return names_[index]; }
   uint32_t size() const { return static_cast<uint32_t>(names_.size()); }
 
--- a/src/model/record_id.h
+++ b/src/model/record_id.h
@@ -1,12 +1,12 @@
-// The id by which a job or a machine names its durable record.
+// The id by which a job or a machine refers to its durable record.
 #pragma once
 
 #include <cstdint>
 
 namespace deckhall {
 
-// Names a record while this process holds it; it is not stored. RecordStore hands the ids out; the
-// id of a removed record is given to a later one.
+// Identifies a record in the memory of this process; it is not persisted. RecordStore assigns the
+// ids and reuses those of removed records.
 using RecordId = uint32_t;
 constexpr RecordId kNoRecord = UINT32_MAX;
 
--- a/src/model/task_attempt.h
+++ b/src/model/task_attempt.h
@@ -1,12 +1,12 @@
 // One attempt to run a task on one machine: the desired state, the observed state, and the
 // resources it holds.
 //
-// Owned by its Machine, from the placement (or from the first heartbeat that lists an attempt of
-// an earlier leader) until it is erased: the agent acknowledged it, lost it, or never can start
-// it. It may therefore be running, about to start, or exited. It holds resources until
-// `released` is set.
+// Owned by its Machine from its placement, or from the first heartbeat that lists it if an earlier
+// leader placed it. Erased once its exit is acknowledged, the agent has lost it, or the agent can
+// no longer start it; until then it may be about to start, running, or exited. It holds resources
+// until `released` is set.
 //
-// Times are seconds of this controller's steady clock.
+// Times are in seconds of this controller's steady clock.
 #pragma once
 
 #include <cstdint>
@@ -17,34 +17,35 @@
 
 namespace deckhall {
 
-// In TaskAttempt::stop_sent_at: so long ago that a stop is due at once.
+// Value of TaskAttempt::stop_sent_at when no stop was sent: far enough in the past that a stop is
+// due at once.
 constexpr double kStopNotSentAt = -1e9;
 
 struct TaskAttempt {
   // Identity.
-  JobIndex job = kNoIndex;  // kNoIndex: a job this leader does not know
+  JobIndex job = kNoIndex;  // kNoIndex if this leader does not know the job
   uint32_t task_index = 0;
-  uint64_t number = 0;    // of the attempt; the tasks of a gang share it. See TermOf()
+  uint64_t number = 0;    // attempt number, shared by the tasks of a gang. See TermOf()
   std::string task_name;  // "job-000412/3"
 
   // Desired state.
-  bool wanted = true;         // false: to be stopped
-  double grace_period_s = 0;  // time to checkpoint when it is stopped
+  bool wanted = true;         // false if it is to be stopped
+  double grace_period_s = 0;  // time it is given to checkpoint when stopped
 
   // Commands sent.
-  double stop_sent_at = kStopNotSentAt;  // last stop
-  double first_stop_sent_at = -1;        // negative: none was sent
-  uint64_t launch_fencing_token = 0;     // of the last launch sent; 0: none can be on its way
+  double stop_sent_at = kStopNotSentAt;  // last stop command
+  double first_stop_sent_at = -1;        // negative if none was sent
+  uint64_t launch_fencing_token = 0;     // of the last launch sent; 0 if none can be in transit
 
-  // Observed state, as of the last heartbeat that listed it.
-  bool reported = false;  // a heartbeat listed it
+  // Observed state, from the last heartbeat that listed it.
+  bool reported = false;  // listed by at least one heartbeat
   TaskState state = TaskState::kFetching;
   ExitReason exit_reason = ExitReason::kNone;
   double launched_at = 0;     // when it was placed or adopted
-  double running_since = -1;  // negative: not running
+  double running_since = -1;  // negative if not running
 
-  // Resources held, and the team whose quota they count against.
-  bool released = false;  // exited; holds no resources
+  // Resources held, and the team whose quota they count towards.
+  bool released = false;  // holds no resources, as it has exited
   uint32_t team = kNoIndex;
   double cores = 0;
   double gpus = 0;
@@ -52,8 +53,8 @@
 
   // Scheduling class.
   bool service = false;
-  bool preemptible = false;      // an array's task that may be preempted by replicas
-  bool placed_by_aging = false;  // its job went first since it had starved
+  bool preemptible = false;      // a task of an array; may be preempted by replicas
+  bool placed_by_aging = false;  // its job was placed ahead of its rank since it had starved
 };
 
 }  // namespace deckhall
--- a/src/model/team.h
+++ b/src/model/team.h
@@ -1,6 +1,6 @@
-// A team as configured: what it is guaranteed, and its quota.
+// A team as configured: its guaranteed resources and its quotas.
 //
-// Owned by the settings; never changes while a leader is in office.
+// Owned by the settings; never changes during a leader's term.
 #pragma once
 
 #include <string>
@@ -9,10 +9,10 @@
 
 struct Team {
   std::string name;
-  double cores = 0;      // guaranteed cores; 0: none
-  double cores_max = 0;  // quota in cores; 0: unlimited
-  double gpus = 0;       // guaranteed GPUs; 0: none
-  double gpus_max = 0;   // quota in GPUs; 0: unlimited
+  double guaranteed_cores = 0;  // 0 if none
+  double cores_max = 0;         // quota; 0 if unlimited
+  double guaranteed_gpus = 0;   // 0 if none
+  double gpus_max = 0;          // quota; 0 if unlimited
 };
 
 }  // namespace deckhall
