--- a/src/leader/election.cc
+++ b/src/leader/election.cc
@@ -98,7 +98,7 @@
   } else if (response.found) {
     HandleHeldKey(response.entries[0]);
   } else {
-    HandleAbsentKey(response.number);
+    HandleAbsentKey(response.revision_or_lease);
   }
 }
 
@@ -172,7 +172,7 @@
 
 void Election::HandleLeaseResponse(const KeyValueResponse& response, double requested_at) {
   if (response.status == KeyValueStatus::kOk) {
-    AcquireKey(response.number, requested_at);
+    AcquireKey(response.revision_or_lease, requested_at);
   } else {
     EnterStage(Stage::kReadingKey, kUnavailableRetrySeconds);
   }
@@ -194,7 +194,7 @@
 void Election::HandleAcquisitionResponse(const KeyValueResponse& response) {
   if (response.status == KeyValueStatus::kOk) {
     lease_valid_until_ = LeaseValidUntil(lease_requested_at_);
-    BecomeLeader(response.number);
+    BecomeLeader(response.revision_or_lease);
     return;
   }
   // Another controller was first, or the outcome is unknown: the key shows it. If the transaction
--- a/src/state/conflict_resolver.cc
+++ b/src/state/conflict_resolver.cc
@@ -46,7 +46,8 @@
       return;
     }
   }
-  // After a failed read some versions are still old: the next commit meets another conflict.
+  // If a read failed, some versions are still outdated: the next commit fails with another
+  // conflict.
   done(ConflictOutcome::kVersionsRead);
 }
 
--- a/src/state/conflict_resolver.h
+++ b/src/state/conflict_resolver.h
@@ -1,11 +1,11 @@
-// Finds out why a transaction met a conflict, and reads the versions of all pages again.
+// Determines why a transaction failed with a conflict, and reads the versions of all pages again.
 //
-// Only the leader of a term writes pages. A page whose version differs from the one last seen
-// was written by an earlier transaction of this leader with an indeterminate outcome, executed
-// after all; or the term is over.
+// Only the leader of a term writes pages. If a page's version differs from the one last seen, then
+// either an earlier transaction of this leader, whose outcome was indeterminate, was executed after
+// all, or the term has ended.
 //
-// Resolve is called while no transaction is in flight: versions read earlier could be older than
-// a commit. Owned by GroupCommit; must outlive a resolution that was started.
+// Resolve must be called while no transaction is in flight; otherwise the versions it reads could
+// be older than a commit. Owned by GroupCommit; must outlive any resolution that was started.
 #pragma once
 
 #include <functional>
@@ -15,22 +15,22 @@
 
 namespace deckhall {
 
-// How the resolution of a conflict ended.
+// The outcome of resolving a conflict.
 enum class ConflictOutcome {
-  kVersionsRead,          // versions were read again, as far as the state service responded
-  kLeaderKeyUnavailable,  // whether the term stands is not known; nothing was read
-  kLeadershipLost,        // the leader key changed: the term is over
+  kVersionsRead,          // versions were read again, possibly not all of them
+  kLeaderKeyUnavailable,  // whether the term has ended is unknown; no versions were read
+  kLeadershipLost,        // the leader key changed: the term has ended
 };
 
 class ConflictResolver {
  public:
-  // `leadership` holds as long as this leader's term.
+  // `leadership` is the precondition that holds during this leader's term.
   ConflictResolver(KeyValueStore* key_value_store, Precondition leadership, RecordPages* pages);
 
   using Done = std::function<void(ConflictOutcome outcome)>;
   // Reads the leader key, then the versions of all pages.
   void Resolve(Done done);
-  // Sends no further request. `done` of a resolution that was started may not be called.
+  // Sends no further requests. Afterwards, `done` of a started resolution may not be called.
   void Stop() { is_stopped_ = true; }
 
  private:
--- a/src/state/group_commit.cc
+++ b/src/state/group_commit.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr int kMaxTransactionsInFlight = 4;
-// Delays before the next transaction, in seconds.
+// Delays before the next transaction after a response.
 constexpr double kRetryAfterUnavailableSeconds = 0.1;
 constexpr double kRetryAfterLeaderKeyUnavailableSeconds = 0.2;
 constexpr double kRetryAfterVersionsReadSeconds = 0.05;
@@ -89,7 +89,7 @@
   const bool is_committed = response.status == KeyValueStatus::kOk;
   --transactions_in_flight_;
   if (is_committed) {
-    HandleCommitted(pages, largest_value_bytes, response.number);
+    HandleCommitted(pages, largest_value_bytes, response.revision_or_lease);
   } else {
     HandleNotCommitted(pages, largest_value_bytes, response.status, now);
   }
@@ -120,8 +120,8 @@
     case KeyValueStatus::kOk:
       break;
     case KeyValueStatus::kIndeterminate:
-      // The pages are sent again under the same versions. If the first attempt is executed
-      // late, the second meets a conflict.
+      // The pages are sent again with the same expected versions. If the first attempt is executed
+      // late, the second fails with a conflict.
       for (PageIndex page_index : pages) pages_->page(page_index).split.indeterminate = true;
       break;
     case KeyValueStatus::kInvalid:
--- a/src/state/group_commit.h
+++ b/src/state/group_commit.h
@@ -1,11 +1,11 @@
-// Writes dirty pages to the state service, several in one transaction.
+// Writes dirty pages to the state service, batched into transactions.
 //
 // Guarantees:
-// - Every transaction is a compare-and-swap on the leader key and on the pages it writes: after
-//   the end of the term nothing is written, and of several attempts at most one is executed.
-// - A page is in one transaction at a time. Further transactions with immediate writes to other
-//   pages may be sent while one is slow to respond.
-// - Changes that were not committed, or have an indeterminate outcome, are sent again.
+// - Every transaction is a compare-and-swap on the leader key and on the pages it writes: nothing
+//   is written after the end of the term, and at most one of several attempts is executed.
+// - A page is in at most one transaction at a time. While one transaction awaits its response,
+//   further ones with immediate writes to other pages may be sent.
+// - Changes that were not committed, or whose outcome is indeterminate, are sent again.
 //
 // Owned by RecordStore.
 #pragma once
@@ -22,34 +22,34 @@
 
 namespace deckhall {
 
-// What group commit tells its owner.
+// Callbacks to the owner of GroupCommit.
 struct GroupCommitEvents {
   std::function<void()> on_commit;           // a transaction was committed
-  std::function<void()> on_leadership_lost;  // the term is over; nothing more is written
+  std::function<void()> on_leadership_lost;  // the term has ended; nothing is written afterwards
 };
 
 class GroupCommit {
  public:
-  // `leadership` holds as long as this leader's term. `limits` may be lowered.
+  // `leadership` is the precondition that holds during this leader's term. `limits` may be lowered.
   GroupCommit(KeyValueStore* key_value_store, const Clock* clock, RecordStoreLimits* limits,
               const Precondition& leadership, RecordPages* pages, PageSplitter* splitter,
               GroupCommitEvents events);
 
   // Sends all transactions that are due and within the write budget.
   void Flush();
-  // Sends nothing any more, and ignores responses.
+  // Stops sending, and ignores outstanding responses.
   void Stop();
 
  private:
   enum class ConflictState {
     kNone,
-    kPending,         // a transaction met a conflict; others are still in flight
+    kPending,         // a transaction failed with a conflict; others are in flight
     kResolving,       // versions are being read again
-    kLeadershipLost,  // the term is over
+    kLeadershipLost,  // the term has ended
   };
 
   bool MaySend(double now) const;
-  // Sends one transaction. False: nothing is due, or nothing may be sent now.
+  // Sends one transaction. Returns false if nothing is due or nothing may be sent now.
   bool SendTransaction();
   PageTransaction BuildTransaction(const std::vector<DuePage>& due, double now);
   void Send(const PageTransaction& outgoing);
@@ -72,7 +72,7 @@
   WriteScheduler scheduler_;
   RejectionHandler rejection_handler_;
   ConflictResolver conflict_resolver_;
-  int transactions_in_flight_ = 0;  // sent, without a response
+  int transactions_in_flight_ = 0;  // sent, awaiting their responses
   ConflictState conflict_state_ = ConflictState::kNone;
   double retry_at_ = 0;  // steady time before which nothing is sent, in seconds
   bool is_stopped_ = false;
--- a/src/state/job_record_codec.cc
+++ b/src/state/job_record_codec.cc
@@ -8,26 +8,26 @@
 namespace deckhall {
 namespace {
 
-// Bytes by which the fields other than the bits of finished tasks may grow.
+// Bytes by which the fields other than `bits` may grow.
 constexpr size_t kRecordGrowthBytes = 24;
 constexpr uint32_t kTasksPerDigit = 4;
 // Digits after the decimal point of stored numbers.
 constexpr int kMaxDecimalPlaces = 3;
 
-constexpr const char* kDoneWord = "d";
-constexpr const char* kCancelledWord = "c";
+constexpr const char* kDoneCode = "d";
+constexpr const char* kCancelledCode = "c";
 
-const char* EndWord(JobLifecycle lifecycle) {
-  return lifecycle == JobLifecycle::kDone ? kDoneWord : kCancelledWord;
+const char* LifecycleCode(JobLifecycle lifecycle) {
+  return lifecycle == JobLifecycle::kDone ? kDoneCode : kCancelledCode;
 }
 
-JobLifecycle ParseLifecycle(const std::string& end_word) {
-  if (end_word == kDoneWord) return JobLifecycle::kDone;
-  if (end_word == kCancelledWord) return JobLifecycle::kCancelled;
+JobLifecycle ParseLifecycle(const std::string& lifecycle_code) {
+  if (lifecycle_code == kDoneCode) return JobLifecycle::kDone;
+  if (lifecycle_code == kCancelledCode) return JobLifecycle::kCancelled;
   return JobLifecycle::kActive;
 }
 
-// Tasks of the job whose bits are in its own record.
+// Number of the job's tasks whose bits are in its own record.
 uint32_t FirstChunkSize(const Job& job) {
   return std::min<uint32_t>(kTasksPerChunk, static_cast<uint32_t>(job.tasks.size()));
 }
@@ -61,9 +61,9 @@
 
 std::optional<JobRecord> DecodeOwnRecord(const rapidjson::Document& document) {
   JobRecord record;
-  std::string end_word;
-  JsonString(document, "s", &end_word);
-  record.lifecycle = ParseLifecycle(end_word);
+  std::string lifecycle_code;
+  JsonString(document, "s", &lifecycle_code);
+  record.lifecycle = ParseLifecycle(lifecycle_code);
   const JsonValue* spec = JsonMember(document, "j");
   if (spec == nullptr) {
     if (!JsonString(document, "x", &record.job_id)) return std::nullopt;
@@ -113,7 +113,7 @@
   JsonWriter writer(buffer);
   writer.SetMaxDecimalPlaces(kMaxDecimalPlaces);
   writer.StartObject();
-  if (job.lifecycle != JobLifecycle::kActive) PutString(writer, "s", EndWord(job.lifecycle));
+  if (job.lifecycle != JobLifecycle::kActive) PutString(writer, "s", LifecycleCode(job.lifecycle));
   writer.Key("j");
   WriteJob(writer, job.spec);
   writer.Key("t");
@@ -132,7 +132,7 @@
   rapidjson::StringBuffer buffer;
   JsonWriter writer(buffer);
   writer.StartObject();
-  PutString(writer, "s", EndWord(job.lifecycle));
+  PutString(writer, "s", LifecycleCode(job.lifecycle));
   PutString(writer, "x", job.id);
   writer.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
--- a/src/state/job_store.cc
+++ b/src/state/job_store.cc
@@ -71,7 +71,7 @@
 void JobStore::ApplyLoadedChunk(const LoadedChunk& chunk) {
   const JobIndex job_index = Find(chunk.done_tasks.job_id);
   if (job_index == kNoIndex || !jobs_[job_index].has_spec) {
-    // The job's spec was dropped, and the removal of this record was not committed.
+    // The job's spec was dropped, but the removal of this record was not committed.
     if (chunk.record_id != kNoRecord) record_store_->Remove(chunk.record_id);
     return;
   }
@@ -119,8 +119,8 @@
   active_task_count_ += job.tasks.size();
 }
 
-// The tasks of a gang are done together, and none may start again. A leader of an earlier
-// version wrote only those of them whose completion had been reported to it.
+// The tasks of a gang complete together and must not be started again. Leaders of earlier versions
+// stored only the tasks whose completion had been reported to them.
 void JobStore::EndGangsWithDoneTask(double now) {
   const std::vector<JobIndex> active = active_jobs_;  // EndJob changes the list
   for (JobIndex job_index : active) {
@@ -159,14 +159,14 @@
 void JobStore::Save(JobIndex job_index, WritePriority priority) {
   Job& job = jobs_[job_index];
   std::string text = EncodeJobRecord(job);
-  // The job was accepted under larger limits: its end has to be kept, its spec need not be.
+  // The job was accepted under larger limits: its end must be kept, its spec may be dropped.
   if (job.lifecycle != JobLifecycle::kActive && text.size() > record_store_->max_record_bytes())
     text = EncodeEndRecord(job);
-  const size_t reserve = JobRecordReserve(job, text);
+  const size_t reserve_bytes = JobRecordReserve(job, text);
   if (job.record_id == kNoRecord) {
-    job.record_id = record_store_->Add(std::move(text), reserve, priority);
+    job.record_id = record_store_->Add(std::move(text), reserve_bytes, priority);
   } else {
-    record_store_->Update(job.record_id, std::move(text), reserve, priority);
+    record_store_->Update(job.record_id, std::move(text), reserve_bytes, priority);
   }
 }
 
--- a/src/state/key_value_client.cc
+++ b/src/state/key_value_client.cc
@@ -12,35 +12,35 @@
 namespace {
 
 constexpr double kRequestTimeoutSeconds = 2.0;
-// A commit is given up after this multiple of the average duration, but not earlier than this.
+// A commit times out after this multiple of the average duration, but not before the minimum below.
 constexpr double kSlowCommitFactor = 4;
 constexpr double kMinCommitTimeoutSeconds = 0.4;
-// Weight of the latest commit in the average duration.
+// Weight of the latest commit in the moving average of the duration.
 constexpr double kCommitSmoothing = 0.1;
 constexpr size_t kMaxResponseBytes = 4 << 20;
 constexpr size_t kMaxConnections = 16;
-// The controllers share the limits; the leader needs most of them. Shares of the limits that one
-// controller uses, for the rate and for the burst.
+// Shares of the state service's limits that one controller uses, for the rate and for the burst.
+// The controllers share the limits, and the leader needs most of each.
 constexpr double kRequestRateShare = 0.7;
 constexpr double kRequestBurstShare = 0.6;
 constexpr double kMinRequestBurst = 4.0;
 constexpr double kWriteRateShare = 0.85;
-// Overdraft of request tokens for renewing a lease, as a share of the limit: leadership depends
-// on it.
+// Overdraft of request tokens for a lease renewal, as a share of the limit: leadership depends on
+// the renewal.
 constexpr double kKeepAliveOverdraftShare = 0.1;
 constexpr double kRefusalDelaySeconds = 0.02;
 
-// Request tokens that a call leaves for more important ones.
-constexpr double kOrdinaryReserve = 2;
-constexpr double kLeaseReserve = 1;
-// A watch is given up so long after the state service should have responded.
+// Request tokens that a call leaves for calls of higher priority.
+constexpr double kOrdinaryReserveTokens = 2;
+constexpr double kLeaseReserveTokens = 1;
+// A watch times out this long after the state service should have responded.
 constexpr double kWatchMarginSeconds = 3;
 
-// The response is good when there is a number: a revision, or a lease.
-void SetNumber(std::optional<uint64_t> number, KeyValueResponse* response) {
-  if (!number) return;
+// Marks the response as kOk if a revision or a lease id was decoded.
+void SetRevisionOrLease(std::optional<uint64_t> revision_or_lease, KeyValueResponse* response) {
+  if (!revision_or_lease) return;
   response->status = KeyValueStatus::kOk;
-  response->number = *number;
+  response->revision_or_lease = *revision_or_lease;
 }
 
 }  // namespace
@@ -49,8 +49,9 @@
                                double write_rps)
     : clock_(clock),
       endpoint_(std::move(endpoint)),
-      requests_(rps * kRequestRateShare, std::max(kMinRequestBurst, rps * kRequestBurstShare)),
-      writes_(write_rps * kWriteRateShare, WriteBurst(write_rps)),
+      request_tokens_(rps * kRequestRateShare,
+                      std::max(kMinRequestBurst, rps * kRequestBurstShare)),
+      write_tokens_(write_rps * kWriteRateShare, WriteBurst(write_rps)),
       rps_(rps),
       http_(loop, kMaxConnections, kMaxResponseBytes),
       refusal_timer_(loop, [this] { CompleteRefusedCalls(); }) {}
@@ -68,8 +69,8 @@
   }
 }
 
-void KeyValueClient::Send(const HttpCall& call, double reserve, Reader reader, Done done) {
-  if (!requests_.Take(clock_->Now(), 1, reserve)) {
+void KeyValueClient::Send(const HttpCall& call, double reserve_tokens, Reader reader, Done done) {
+  if (!request_tokens_.Take(clock_->Now(), 1, reserve_tokens)) {
     RefuseLater(std::move(done));
     return;
   }
@@ -90,7 +91,7 @@
   if (result.status == http_status::kTooManyRequests ||
       result.status == http_status::kServiceUnavailable) {
     response.status = KeyValueStatus::kUnavailable;
-    if (result.status == http_status::kTooManyRequests) requests_.Drain();
+    if (result.status == http_status::kTooManyRequests) request_tokens_.Drain();
     return response;
   }
   reader(result, &response);
@@ -103,29 +104,31 @@
 
 void KeyValueClient::Commit(const Transaction& transaction, Done done) {
   const double puts = static_cast<double>(transaction.mutations.size());
-  // Overdraws the bucket: a transaction of more puts than the burst could never be sent.
-  if (!writes_.Take(clock_->Now(), puts, -puts)) {
+  // May overdraw the bucket, as a transaction with more puts than the burst could otherwise never
+  // be sent.
+  if (!write_tokens_.Take(clock_->Now(), puts, -puts)) {
     RefuseLater(std::move(done));
     return;
   }
-  // A commit that takes far longer than most is given up: sent again under the same versions,
-  // it is sooner known to be durable.
-  const double timeout = std::clamp(kSlowCommitFactor * smoothed_commit_s_,
-                                    kMinCommitTimeoutSeconds, kRequestTimeoutSeconds);
-  const double sent = clock_->Now();
+  // A commit that takes far longer than the average times out, as sending it again with the same
+  // preconditions confirms its durability sooner.
+  const double timeout_s = std::clamp(kSlowCommitFactor * smoothed_commit_s_,
+                                      kMinCommitTimeoutSeconds, kRequestTimeoutSeconds);
+  const double sent_at = clock_->Now();
   Send(
-      {"POST", "/txn", EncodeTransaction(transaction), timeout}, kOrdinaryReserve,
+      {"POST", "/txn", EncodeTransaction(transaction), timeout_s}, kOrdinaryReserveTokens,
       [](const HttpResult& result, KeyValueResponse* response) {
-        if (result.status == http_status::kOk) SetNumber(DecodeRevision(result.body), response);
+        if (result.status == http_status::kOk)
+          SetRevisionOrLease(DecodeRevision(result.body), response);
         if (result.status == http_status::kConflict) response->status = KeyValueStatus::kConflict;
         if (result.status == http_status::kBadRequest) {
           response->status = KeyValueStatus::kInvalid;
           spdlog::warn("transaction rejected by the state service: {}", result.body);
         }
       },
-      [this, sent, done = std::move(done)](const KeyValueResponse& response) {
+      [this, sent_at, done = std::move(done)](const KeyValueResponse& response) {
         if (response.status != KeyValueStatus::kUnavailable) {
-          smoothed_commit_s_ += kCommitSmoothing * (clock_->Now() - sent - smoothed_commit_s_);
+          smoothed_commit_s_ += kCommitSmoothing * (clock_->Now() - sent_at - smoothed_commit_s_);
         }
         done(response);
       });
@@ -133,10 +136,10 @@
 
 void KeyValueClient::Get(const std::string& key, Done done) {
   Send(
-      {"GET", "/kv/" + key, "", kRequestTimeoutSeconds}, kOrdinaryReserve,
+      {"GET", "/kv/" + key, "", kRequestTimeoutSeconds}, kOrdinaryReserveTokens,
       [](const HttpResult& result, KeyValueResponse* response) {
         if (result.status == http_status::kNotFound)
-          SetNumber(DecodeRevision(result.body), response);
+          SetRevisionOrLease(DecodeRevision(result.body), response);
         if (result.status != http_status::kOk) return;
         std::optional<KeyValue> entry = DecodeKeyValue(result.body);
         if (!entry) return;
@@ -151,13 +154,13 @@
   std::string path = "/kv?starts=" + prefix + "&page=200";
   if (!after.empty()) path += "&from=" + after;
   Send(
-      {"GET", path, "", kRequestTimeoutSeconds}, kOrdinaryReserve,
+      {"GET", path, "", kRequestTimeoutSeconds}, kOrdinaryReserveTokens,
       [](const HttpResult& result, KeyValueResponse* response) {
         if (result.status != http_status::kOk) return;
         std::optional<KeyValuePage> page = DecodeKeyValues(result.body);
         if (!page) return;
         response->status = KeyValueStatus::kOk;
-        response->number = page->revision;
+        response->revision_or_lease = page->revision;
         response->truncated = page->truncated;
         response->entries = std::move(page->entries);
       },
@@ -166,9 +169,10 @@
 
 void KeyValueClient::GrantLease(int ttl_ms, Done done) {
   Send(
-      {"POST", "/grants", EncodeLeaseGrant(ttl_ms), kRequestTimeoutSeconds}, kLeaseReserve,
+      {"POST", "/grants", EncodeLeaseGrant(ttl_ms), kRequestTimeoutSeconds}, kLeaseReserveTokens,
       [](const HttpResult& result, KeyValueResponse* response) {
-        if (result.status == http_status::kOk) SetNumber(DecodeLeaseGrant(result.body), response);
+        if (result.status == http_status::kOk)
+          SetRevisionOrLease(DecodeLeaseGrant(result.body), response);
       },
       std::move(done));
 }
@@ -186,7 +190,8 @@
 
 void KeyValueClient::RevokeLease(uint64_t lease, Done done) {
   Send(
-      {"DELETE", "/grants/" + std::to_string(lease), "", kRequestTimeoutSeconds}, kLeaseReserve,
+      {"DELETE", "/grants/" + std::to_string(lease), "", kRequestTimeoutSeconds},
+      kLeaseReserveTokens,
       [](const HttpResult& result, KeyValueResponse* response) {
         if (result.status == http_status::kOk || result.status == http_status::kNoContent)
           response->status = KeyValueStatus::kOk;
@@ -199,14 +204,15 @@
   const std::string path = "/follow?starts=" + prefix + "&from=" + std::to_string(after) +
                            "&hold_ms=" + std::to_string(hold_ms);
   Send(
-      {"GET", path, "", hold_ms / 1000.0 + kWatchMarginSeconds}, kOrdinaryReserve,
+      {"GET", path, "", hold_ms / 1000.0 + kWatchMarginSeconds}, kOrdinaryReserveTokens,
       [](const HttpResult& result, KeyValueResponse* response) {
-        if (result.status == http_status::kOk) SetNumber(DecodeRevision(result.body), response);
+        if (result.status == http_status::kOk)
+          SetRevisionOrLease(DecodeRevision(result.body), response);
         if (result.status == http_status::kGone) response->status = KeyValueStatus::kConflict;
       },
       std::move(done));
 }
 
-double KeyValueClient::AvailableWriteTokens() { return writes_.Level(clock_->Now()); }
+double KeyValueClient::AvailableWriteTokens() { return write_tokens_.Level(clock_->Now()); }
 
 }  // namespace deckhall
--- a/src/state/key_value_client.h
+++ b/src/state/key_value_client.h
@@ -1,12 +1,12 @@
-// The state service over HTTP, within its rate limits (PROTOCOL, "Controller nodes -> state
-// service").
+// HTTP client of the state service that stays within its rate limits (PROTOCOL, "Controller nodes
+// -> state service").
 //
-// Guarantees: two token buckets, of requests and of puts, keep this node below the limits of the
-// state service; a request beyond them is refused here as kUnavailable. Requests of higher
-// importance may take tokens that others have to leave.
+// Guarantees: two token buckets, for requests and for puts, keep this node below the limits of the
+// state service; a request beyond them is refused locally as kUnavailable. Lower-priority requests
+// leave reserve tokens to those of higher priority. `done` is never called from within the call
+// itself.
 //
-// Invariant: `done` is never called from within the call itself. One thread, that of the event
-// loop. Owned by the process.
+// All calls are made on the event loop's thread. Owned by the process.
 #pragma once
 
 #include <algorithm>
@@ -19,8 +19,8 @@
 
 namespace deckhall {
 
-// The burst of the write token bucket, in puts, for a limit of `write_rps` puts per second: less
-// than the second's worth that the state service allows, as the controllers share the limit.
+// The burst of the write token bucket, in puts, for a limit of `write_rps` puts per second. It is
+// less than the burst of one second that the state service allows, as the controllers share it.
 inline double WriteBurst(double write_rps) {
   constexpr double kMinWriteBurst = 2.0;
   constexpr double kWriteBurstShare = 0.8;
@@ -30,7 +30,7 @@
 class KeyValueClient : public KeyValueStore {
  public:
   // `rps` and `write_rps` are the limits of the state service for all controllers together, in
-  // requests and in puts per second.
+  // requests per second and in puts per second.
   KeyValueClient(Loop* loop, const Clock* clock, Endpoint endpoint, double rps, double write_rps);
 
   void Commit(const Transaction& transaction, Done done) override;
@@ -43,20 +43,21 @@
   double AvailableWriteTokens() override;
 
  private:
-  // Reads the result of a request that was executed or rejected into the response.
+  // Decodes the HTTP result of a request that was executed or rejected.
   using Reader = std::function<void(const HttpResult&, KeyValueResponse*)>;
-  // Sends a request if that leaves `reserve` request tokens; a negative reserve is an overdraft.
-  void Send(const HttpCall& call, double reserve, Reader reader, Done done);
+  // Sends the request if that leaves `reserve_tokens` request tokens; a negative value allows an
+  // overdraft.
+  void Send(const HttpCall& call, double reserve_tokens, Reader reader, Done done);
   KeyValueResponse ReadResult(const HttpResult& result, const std::string& request,
                               const Reader& reader);
-  // Responds kUnavailable to a request beyond a rate limit, from the event loop.
+  // Completes a request beyond a rate limit with kUnavailable, later from the event loop.
   void RefuseLater(Done done);
   void CompleteRefusedCalls();
 
   const Clock* clock_;
   Endpoint endpoint_;
-  TokenBucket requests_;
-  TokenBucket writes_;
+  TokenBucket request_tokens_;
+  TokenBucket write_tokens_;
   double smoothed_commit_s_ = 0.05;  // moving average of the duration of a commit
   double rps_;
   HttpClient http_;
--- a/src/state/key_value_store.h
+++ b/src/state/key_value_store.h
@@ -1,12 +1,12 @@
-// What the control code asks of the state service: a small key-value store with strong
-// consistency, compare-and-swap transactions and leases (PROTOCOL, "Controller nodes -> state
-// service").
+// Interface to the state service: a small key-value store with strong consistency,
+// compare-and-swap transactions and leases (PROTOCOL, "Controller nodes -> state service").
 //
-// Guarantees: every call leads to exactly one call of its `done`, never from within the call
-// itself. Calls that are sent at the same time may be executed in any order.
+// Guarantees: every call invokes its `done` exactly once, and never from within the call itself.
+// Concurrent calls may be executed in any order.
 //
-// Implemented by KeyValueClient over HTTP, and by fakes in tests. The owner is the process; users
-// hold a pointer, and must outlive the requests they sent. One thread, that of the event loop.
+// Implemented by KeyValueClient over HTTP, and by fakes in tests. Owned by the process; users hold
+// a pointer, and must outlive the requests they sent. All calls are made on the event loop's
+// thread.
 #pragma once
 
 #include <functional>
@@ -17,32 +17,33 @@
 
 namespace deckhall {
 
-// How a request ended, and what the caller may conclude about its execution.
+// The outcome of a request, and whether it was executed.
 enum class KeyValueStatus {
   // Executed.
   kOk,
   // Not executed, and never will be: a compare-and-swap condition did not hold (409), the lease
-  // has ended (404), or a watch is too far behind (410). The caller has to read again.
+  // has ended (404), or a watch is too far behind (410). The caller must read again.
   kConflict,
-  // Not executed, and never will be in this form: the request itself is rejected (400), for
-  // example as too large.
+  // Not executed, and never will be in this form: the request itself was rejected (400), for
+  // example because it is too large.
   kInvalid,
-  // Not executed, and never will be: above a rate limit (429 or the client's own token bucket),
-  // an outage (503), or not sent. The caller may retry after a backoff.
+  // Not executed, and never will be: it exceeded a rate limit (429 or the client's own token
+  // bucket), the service has an outage (503), or it was not sent. The caller may retry after a
+  // backoff.
   kUnavailable,
-  // Indeterminate outcome: no response, or none that could be read. The request may have been
-  // executed, or may yet be executed later. Only a request whose conditions exclude a second
-  // execution may be sent again.
+  // Indeterminate outcome: no response was received, or it could not be decoded. The request may
+  // have been executed, or may still be executed later. It may be sent again only if its
+  // preconditions exclude a second execution.
   kIndeterminate
 };
 
-// The response to any request. Fields that the request doesn't name are not set.
+// The response to a request. Each field is set only for the requests named at it.
 struct KeyValueResponse {
   KeyValueStatus status = KeyValueStatus::kIndeterminate;
-  // Commit, Watch, List, and Get of a missing key: the revision. GrantLease: the lease.
-  uint64_t number = 0;
+  // Commit, Watch, List, and Get of a missing key: the revision. GrantLease: the lease id.
+  uint64_t revision_or_lease = 0;
   bool found = false;             // Get: the key exists
-  bool truncated = false;         // List: there are further keys after the last entry
+  bool truncated = false;         // List: more keys follow the last entry
   std::vector<KeyValue> entries;  // Get: at most one; List: sorted by key
 };
 
@@ -51,26 +52,27 @@
   using Done = std::function<void(KeyValueResponse)>;
   virtual ~KeyValueStore() = default;
 
-  // Executes all mutations atomically if every precondition holds. All keys written get the
-  // response's revision as their version. Version 0 in a precondition: the key does not exist.
+  // Executes all mutations atomically if every precondition holds. The version of every written
+  // key becomes the response's revision. A precondition with version 0 requires that the key does
+  // not exist.
   virtual void Commit(const Transaction& transaction, Done done) = 0;
-  // Reads one key. A missing key is kOk with `found` false.
+  // Reads one key. For a missing key the response is kOk with `found` false.
   virtual void Get(const std::string& key, Done done) = 0;
-  // Reads the keys with this prefix that sort after `after`; "" begins with the first.
+  // Reads the keys with this prefix that sort after `after`; all of them if `after` is empty.
   virtual void List(const std::string& prefix, const std::string& after, Done done) = 0;
-  // Creates a lease that ends `ttl_ms` milliseconds after its last renewal. When it ends, the
+  // Creates a lease that expires `ttl_ms` milliseconds after its last renewal. When it ends, the
   // keys attached to it are removed.
   virtual void GrantLease(int ttl_ms, Done done) = 0;
-  // Renews a lease; kConflict if it has ended. No response within `timeout_s` seconds is
-  // kIndeterminate: the lease may have been renewed.
+  // Renews a lease; kConflict if it has ended. If there is no response within `timeout_s` seconds,
+  // the outcome is kIndeterminate: the lease may have been renewed.
   virtual void KeepAliveLease(uint64_t lease, double timeout_s, Done done) = 0;
-  // Ends a lease; kConflict if it has ended before.
+  // Ends a lease; kConflict if it has already ended.
   virtual void RevokeLease(uint64_t lease, Done done) = 0;
   // Waits until a key with the prefix has changed after revision `after`, for at most `hold_ms`
   // milliseconds; kConflict if that revision is too old to watch from.
   virtual void Watch(const std::string& prefix, uint64_t after, int hold_ms, Done done) = 0;
-  // The level of the write token bucket, in puts. Commit takes one for each mutation; callers
-  // leave some of them for writes of higher priority.
+  // The level of the write token bucket, in puts. Commit takes one token per mutation; callers
+  // leave some tokens for writes of higher priority.
   virtual double AvailableWriteTokens() = 0;
 };
 
--- a/src/state/page_loader.cc
+++ b/src/state/page_loader.cc
@@ -5,7 +5,7 @@
 namespace deckhall {
 
 void PageLoader::Load(Done done) {
-  // An earlier load may have failed half-way: its pages would be held twice.
+  // An earlier load may have failed half-way; without this its pages would be added twice.
   pages_->Clear();
   LoadPagesAfter("", std::move(done));
 }
--- a/src/state/page_loader.h
+++ b/src/state/page_loader.h
@@ -1,7 +1,7 @@
 // Reads all pages of the record store from the state service.
 //
-// Guarantees: on success RecordPages holds every stored page with the version at which it was
-// read. Owned by RecordStore; must outlive a load that was started.
+// Guarantees: on success, RecordPages holds every stored page with the version at which it was
+// read. Owned by RecordStore; must outlive any load that was started.
 #pragma once
 
 #include <functional>
@@ -17,7 +17,8 @@
   PageLoader(KeyValueStore* key_value_store, RecordPages* pages)
       : key_value_store_(key_value_store), pages_(pages) {}
 
-  // Replaces what `pages` holds. `done(false)`: a read failed, and some pages may be missing.
+  // Replaces the contents of `pages`. Calls `done(false)` if a read failed and pages may be
+  // missing.
   using Done = std::function<void(bool is_complete)>;
   void Load(Done done);
 
--- a/src/state/page_split.cc
+++ b/src/state/page_split.cc
@@ -8,7 +8,7 @@
 namespace deckhall {
 namespace {
 
-// First-fit packing by the size that `size` names.
+// First-fit packing by the member `size`.
 RecordGroups PackFirstFit(const std::vector<RecordSize>& records, size_t RecordSize::*size,
                           size_t page_bytes) {
   RecordGroups groups;
@@ -27,7 +27,7 @@
   return groups;
 }
 
-// Moves the records of all groups beyond `max_groups` to the first group.
+// Moves the records of all groups beyond the first `max_groups` to the first group.
 void MergeExcessGroups(RecordGroups& groups, size_t max_groups) {
   while (groups.size() > max_groups) {
     const std::vector<size_t> excess = std::move(groups.back());
@@ -40,7 +40,7 @@
 
 RecordGroups PlanPageSplit(const std::vector<RecordSize>& records, const SplitLimits& limits) {
   RecordGroups groups = PackFirstFit(records, &RecordSize::reserve_bytes, limits.fill_bytes);
-  // Full pages can be split again later; now the split has to fit one transaction.
+  // Full pages can be split again later, whereas this split must fit into one transaction.
   if (groups.size() > limits.max_pages)
     groups = PackFirstFit(records, &RecordSize::text_bytes, limits.max_value_bytes);
   MergeExcessGroups(groups, std::max<size_t>(limits.max_pages, 1));
--- a/src/state/page_splitter.cc
+++ b/src/state/page_splitter.cc
@@ -11,7 +11,7 @@
 
 bool PageSplitter::IsOversized(PageIndex page_index) const {
   const RecordPage& page = pages_->page(page_index);
-  return page.reserved > limits_->max_value_bytes && page.records.size() > 1 &&
+  return page.reserved_bytes > limits_->max_value_bytes && page.records.size() > 1 &&
          !page.split.IsSplitting();
 }
 
@@ -21,11 +21,11 @@
     if (!IsOversized(i)) continue;
     ++oversized;
     pages_->MarkDirty(i, WritePriority::kBackground);
-    // Due without the delay that collects background writes.
+    // Due at once, without the delay that batches background writes.
     pages_->page(i).changes.dirty_since -= limits_->background_delay_s;
   }
   if (oversized == 0) return;
-  spdlog::info("oversized_pages={} pages={} max_value_bytes={}: oversized pages are split",
+  spdlog::info("oversized_pages={} pages={} max_value_bytes={}: splitting oversized pages",
                oversized, pages_->page_count(), limits_->max_value_bytes);
 }
 
@@ -34,7 +34,7 @@
   sizes.reserve(pages_->page(origin).records.size());
   for (RecordId record_id : pages_->page(origin).records) {
     const StoredRecord& record = pages_->record(record_id);
-    sizes.push_back({record.reserve, record.text.size() + 1});
+    sizes.push_back({record.reserve_bytes, record.text.size() + 1});
   }
   const SplitLimits limits{limits_->fill_bytes, limits_->max_value_bytes,
                            limits_->max_transaction_ops};
@@ -59,7 +59,7 @@
   for (PageIndex part_index : std::exchange(origin_page.split.parts, {})) {
     RecordPage& part = pages_->page(part_index);
     part.split.origin = kNoPage;
-    // MarkDirty noted the changes of every part at the origin.
+    // MarkDirty recorded the changes of all parts at the origin.
     if (!changes.dirty || part_index == origin) continue;
     part.changes.dirty = true;
     part.changes.priority = std::max(part.changes.priority, changes.priority);
--- a/src/state/record_pages.cc
+++ b/src/state/record_pages.cc
@@ -15,7 +15,7 @@
 // Bytes between two records on a page.
 constexpr size_t kSeparatorBytes = 1;
 
-// The number in a page's key; 0 if there is none.
+// Returns the number in a page's key, or 0 if there is none.
 uint64_t ParsePageNumber(const std::string& key) {
   const std::string digits = key.substr(kPageKeyPrefix.size());
   uint64_t number = 0;
@@ -46,8 +46,8 @@
 }
 
 void RecordPages::AddStoredPage(const KeyValue& entry) {
-  // Page numbers may have gaps, where a transaction was never executed; counting the pages
-  // would make two of them share a key.
+  // Page numbers may have gaps, where a transaction was never executed. Numbering by the count of
+  // pages could therefore reuse the key of an existing page.
   next_page_number_ = std::max(next_page_number_, ParsePageNumber(entry.key) + 1);
   const PageIndex page_index = page_count();
   RecordPage& page = pages_.emplace_back();
@@ -59,7 +59,7 @@
     return;
   }
   spdlog::error("page={}: value is not a JSON array, page left unchanged", entry.key);
-  page.reserved = limits_->fill_bytes;
+  page.reserved_bytes = limits_->fill_bytes;
   ++unreadable_pages_;
 }
 
@@ -68,7 +68,7 @@
     const RecordId record_id = record_count();
     StoredRecord& record = records_.emplace_back();
     record.text = EncodeJson(item);
-    record.reserve = record.text.size() + kSeparatorBytes;
+    record.reserve_bytes = record.text.size() + kSeparatorBytes;
     record.in_use = true;
     AppendToPage(record_id, page_index);
   }
@@ -85,19 +85,19 @@
   return record_id;
 }
 
-RecordId RecordPages::Add(std::string text, size_t reserve, WritePriority priority) {
+RecordId RecordPages::Add(std::string text, size_t reserve_bytes, WritePriority priority) {
   const RecordId record_id = AllocateRecord();
   StoredRecord& record = records_[record_id];
-  record.reserve = std::max(reserve, text.size()) + kSeparatorBytes;
+  record.reserve_bytes = std::max(reserve_bytes, text.size()) + kSeparatorBytes;
   record.text = std::move(text);
   record.in_use = true;
   record.dirty = true;
-  AppendToPage(record_id, ChoosePage(record.reserve));
+  AppendToPage(record_id, ChoosePage(record.reserve_bytes));
   MarkDirty(record.page, priority);
   return record_id;
 }
 
-void RecordPages::Update(RecordId record_id, std::string text, size_t reserve,
+void RecordPages::Update(RecordId record_id, std::string text, size_t reserve_bytes,
                          WritePriority priority) {
   StoredRecord& record = records_[record_id];
   if (record.text == text) {
@@ -106,7 +106,7 @@
   }
   record.text = std::move(text);
   record.dirty = true;
-  Reserve(record_id, reserve);
+  Reserve(record_id, reserve_bytes);
   MarkDirty(record.page, priority);
 }
 
@@ -114,30 +114,30 @@
   StoredRecord& record = records_[record_id];
   if (!record.in_use) return;
   RecordPage& page = pages_[record.page];
-  page.reserved -= record.reserve;
+  page.reserved_bytes -= record.reserve_bytes;
   page.records.erase(std::find(page.records.begin(), page.records.end(), record_id));
   MarkDirty(record.page, WritePriority::kBackground);
   record = StoredRecord();
   free_records_.push_back(record_id);
 }
 
-void RecordPages::Reserve(RecordId record_id, size_t reserve) {
+void RecordPages::Reserve(RecordId record_id, size_t reserve_bytes) {
   StoredRecord& record = records_[record_id];
   RecordPage& page = pages_[record.page];
-  const size_t wanted = std::max(reserve, record.text.size()) + kSeparatorBytes;
-  page.reserved = page.reserved - record.reserve + wanted;
-  record.reserve = wanted;
+  const size_t needed_bytes = std::max(reserve_bytes, record.text.size()) + kSeparatorBytes;
+  page.reserved_bytes = page.reserved_bytes - record.reserve_bytes + needed_bytes;
+  record.reserve_bytes = needed_bytes;
 }
 
 PageIndex RecordPages::ChoosePage(size_t bytes) {
-  // The fullest page with enough space, so that few pages are dirty at a time.
+  // Prefers the fullest page with enough space, so that few pages are dirty at a time.
   PageIndex best = kNoPage;
   for (PageIndex i = 0; i < page_count(); ++i) {
     const RecordPage& page = pages_[i];
-    // A new record there would have to wait for the response, or for the whole split.
+    // A record added to such a page would have to wait for the response, or for the whole split.
     if (page.in_flight || page.split.IsSplitting()) continue;
-    if (page.reserved + bytes > limits_->fill_bytes) continue;
-    if (best == kNoPage || page.reserved > pages_[best].reserved) best = i;
+    if (page.reserved_bytes + bytes > limits_->fill_bytes) continue;
+    if (best == kNoPage || page.reserved_bytes > pages_[best].reserved_bytes) best = i;
   }
   return best != kNoPage ? best : AddPage();
 }
@@ -152,12 +152,12 @@
   RecordPage& page = pages_[page_index];
   record.page = page_index;
   page.records.push_back(record_id);
-  page.reserved += record.reserve;
+  page.reserved_bytes += record.reserve_bytes;
 }
 
 std::vector<RecordId> RecordPages::TakeRecords(PageIndex page_index) {
   RecordPage& page = pages_[page_index];
-  page.reserved = kEmptyPageBytes;
+  page.reserved_bytes = kEmptyPageBytes;
   return std::exchange(page.records, {});
 }
 
--- a/src/state/record_store.cc
+++ b/src/state/record_store.cc
@@ -19,7 +19,7 @@
                        if (on_leadership_lost) on_leadership_lost();
                      }}) {}
 
-void RecordStore::Load(Loaded done) {
+void RecordStore::Load(LoadCallback done) {
   loader_.Load([this, done = std::move(done)](bool is_complete) {
     std::vector<std::pair<RecordId, std::string>> records;
     if (is_complete) {
@@ -30,19 +30,19 @@
   });
 }
 
-RecordId RecordStore::Add(std::string text, size_t reserve, WritePriority priority) {
-  return pages_.Add(std::move(text), reserve, priority);
+RecordId RecordStore::Add(std::string text, size_t reserve_bytes, WritePriority priority) {
+  return pages_.Add(std::move(text), reserve_bytes, priority);
 }
 
-void RecordStore::Update(RecordId record_id, std::string text, size_t reserve,
+void RecordStore::Update(RecordId record_id, std::string text, size_t reserve_bytes,
                          WritePriority priority) {
-  pages_.Update(record_id, std::move(text), reserve, priority);
+  pages_.Update(record_id, std::move(text), reserve_bytes, priority);
 }
 
 void RecordStore::Remove(RecordId record_id) { pages_.Remove(record_id); }
 
-void RecordStore::Reserve(RecordId record_id, size_t reserve) {
-  pages_.Reserve(record_id, reserve);
+void RecordStore::Reserve(RecordId record_id, size_t reserve_bytes) {
+  pages_.Reserve(record_id, reserve_bytes);
 }
 
 void RecordStore::SplitLargePages() { splitter_.ScheduleOversizedPages(); }
--- a/src/state/record_store.h
+++ b/src/state/record_store.h
@@ -1,19 +1,20 @@
-// The leader's durable records: small JSON texts, many to a page, one page to a key of the state
-// service.
+// The leader's durable records: small JSON texts, grouped into pages. Each page is one key of the
+// state service.
 //
 // Guarantees:
-// - A record counts as durable (IsDurable) only after a transaction with its present text was
-//   committed in this term.
+// - A record is durable (IsDurable) only after a transaction with its current text was committed
+//   in this term.
 // - Each transaction is a compare-and-swap on the leader key and the versions of its pages, so a
-//   leader whose term is over changes nothing.
-// - Records are never stored twice or lost, whatever step a leader ends at.
+//   leader whose term has ended can't change anything.
+// - Records are never duplicated or lost, at whatever point a leader stops.
 //
-// Invariant: changes are made in memory at once; Flush sends them. One thread, that of the event
-// loop. Owned by Leader, one for each term; must outlive the requests it sent.
+// Changes are applied in memory at once and sent by Flush. All calls are made on the event loop's
+// thread. Owned by Leader, one for each term; must outlive the requests it sent.
 //
-// This class is a facade. Its parts, each in a file of its own: RecordPages (records on pages),
-// PageLoader, WriteScheduler (what is due), TransactionBuilder, GroupCommit (sending and
-// responses), ConflictResolver, PageSplitter, RejectionHandler (lowered limits).
+// This class is a facade over RecordPages (records and pages in memory), PageLoader,
+// WriteScheduler (selects the pages to write), TransactionBuilder, GroupCommit (sends transactions
+// and handles responses), ConflictResolver, PageSplitter and RejectionHandler (handles lowered
+// limits).
 #pragma once
 
 #include <functional>
@@ -34,50 +35,51 @@
 
 class RecordStore {
  public:
-  // Prefix of the keys of its pages.
+  // Prefix of the page keys.
   static constexpr std::string_view kPrefix = kPageKeyPrefix;
 
-  // `term` is the version of `leader_key` while this leader's term stands.
+  // `term` is the version of `leader_key` during this leader's term.
   RecordStore(KeyValueStore* key_value_store, const Clock* clock, RecordStoreLimits limits,
               std::string leader_key, uint64_t term);
-  // Its parts refer to each other.
+  // Not copyable: its members hold pointers to each other.
   RecordStore(const RecordStore&) = delete;
   RecordStore& operator=(const RecordStore&) = delete;
 
-  using Loaded = std::function<void(bool ok, std::vector<std::pair<RecordId, std::string>> rows)>;
-  // Reads all pages, then calls `done(true)` with the text of every record, or `done(false)`
-  // if a read failed. May be called again before the first change.
-  void Load(Loaded done);
+  using LoadCallback =
+      std::function<void(bool ok, std::vector<std::pair<RecordId, std::string>> records)>;
+  // Reads all pages, then calls `done(true)` with the text of every record, or `done(false)` if a
+  // read failed. May be called again until the first change.
+  void Load(LoadCallback done);
 
-  // Adds a record; `reserve` is the size in bytes to which its text may grow.
-  RecordId Add(std::string text, size_t reserve, WritePriority priority);
+  // Adds a record, whose text may grow to `reserve_bytes`.
+  RecordId Add(std::string text, size_t reserve_bytes, WritePriority priority);
   // Replaces the text of a record. An unchanged text is not written again.
-  void Update(RecordId record_id, std::string text, size_t reserve, WritePriority priority);
+  void Update(RecordId record_id, std::string text, size_t reserve_bytes, WritePriority priority);
   // Removes a record, as a background write. Does nothing if it was removed before.
   void Remove(RecordId record_id);
-  // Sets aside `reserve` bytes for a record that was loaded. A page that outgrows the limit for
-  // values can't be written.
-  void Reserve(RecordId record_id, size_t reserve);
-  // Schedules the split of pages that exceed the limits: they may have been filled under larger
-  // ones. Called once all records are loaded and have their reserves.
+  // Sets the size to which a loaded record may grow. A page that outgrows the value limit can't be
+  // written.
+  void Reserve(RecordId record_id, size_t reserve_bytes);
+  // Schedules the split of pages that exceed the limits, as they may have been filled under larger
+  // ones. Called once all records are loaded and have their reserved sizes.
   void SplitLargePages();
-  // Size in bytes of the largest text that a record may have.
+  // Largest size of a record's text, in bytes.
   size_t max_record_bytes() const { return limits_.fill_bytes - kPageOverheadBytes; }
-  // Size in bytes of the present text.
+  // Size of the record's current text, in bytes.
   size_t RecordBytes(RecordId record_id) const { return pages_.record(record_id).text.size(); }
-  // Whether the present text is committed in the state service.
+  // Whether the record's current text is committed in the state service.
   bool IsDurable(RecordId record_id) const;
-  // Pages whose records could not be read: whether a job is stored there is not known.
+  // Number of pages whose records could not be read; they may hold jobs unknown to this leader.
   int unreadable_pages() const { return pages_.unreadable_pages(); }
 
-  // Sends what is due. Called after changes and at every tick.
+  // Sends the writes that are due. Called after changes and on every tick.
   void Flush() { group_commit_.Flush(); }
-  // Sends nothing any more, and ignores responses.
+  // Stops sending, and ignores outstanding responses.
   void Stop() { group_commit_.Stop(); }
 
   // Called after each commit.
   std::function<void()> on_commit;
-  // Called when a conflict shows that the term is over; nothing more is written.
+  // Called when a conflict shows that the term has ended; nothing is written afterwards.
   std::function<void()> on_leadership_lost;
 
  private:
--- a/src/state/rejection_handler.h
+++ b/src/state/rejection_handler.h
@@ -1,11 +1,11 @@
-// What the record store does after the state service rejected a transaction as invalid.
+// Handles transactions that the state service rejected as invalid.
 //
-// The limits of the state service can be lowered without notice (PROTOCOL, "POST /txn": 400).
-// A rejection does not name its cause, so it is narrowed down: pages that were rejected together
-// are sent in isolation; a page that was rejected in isolation shows that its value is too large,
-// lowers the limit, and is split or retried after a backoff.
+// The limits of the state service can be lowered without notice (PROTOCOL, "POST /txn": 400). As a
+// rejection does not state its cause, the cause is narrowed down: pages that were rejected together
+// are sent in isolation. If a page is rejected in isolation, its value is too large: the value
+// limit is lowered, and the page is split or retried after a backoff.
 //
-// Guarantees: a page that is always rejected holds up no other page. Owned by GroupCommit.
+// Guarantees: a page that is always rejected does not delay any other page. Owned by GroupCommit.
 #pragma once
 
 #include <vector>
@@ -15,12 +15,12 @@
 
 namespace deckhall {
 
-// After a rejection in isolation a page is not sent for this long, unless it can be split.
+// Backoff after a rejection in isolation, unless the page can be split.
 constexpr double kRejectedPageBackoffSeconds = 5;
 
 class RejectionHandler {
  public:
-  // `limits` is lowered here as rejections show smaller ones.
+  // `limits` is lowered by this class when rejections show that smaller ones are in force.
   RejectionHandler(const Clock* clock, RecordStoreLimits* limits, RecordPages* pages,
                    PageSplitter* splitter)
       : clock_(clock),
@@ -29,11 +29,11 @@
         pages_(pages),
         splitter_(splitter) {}
 
-  // A transaction was committed whose largest value had this size: smaller values are not the
-  // cause of later rejections.
+  // Called when a transaction was committed whose largest value had this size. Values up to this
+  // size are then not the cause of later rejections.
   void NoteAcceptedValue(size_t value_bytes);
-  // The transaction that wrote these pages was rejected. `largest_value_bytes` is the size of
-  // its largest value.
+  // Called when the transaction with these pages was rejected. `largest_value_bytes` is the size
+  // of its largest value.
   void HandleRejection(const std::vector<PageIndex>& rejected_pages, size_t largest_value_bytes);
 
  private:
@@ -44,7 +44,7 @@
   const Clock* clock_;
   RecordStoreLimits* limits_;
   size_t configured_max_ops_;
-  size_t accepted_bytes_ = 0;  // largest value committed since pages were last isolated
+  size_t largest_accepted_bytes_ = 0;  // largest value committed since pages were last isolated
   RecordPages* pages_;
   PageSplitter* splitter_;
 };
--- a/src/state/transaction_builder.cc
+++ b/src/state/transaction_builder.cc
@@ -10,9 +10,9 @@
 namespace deckhall {
 namespace {
 
-// Below the 64 KiB that the state service allows for a transaction: sizes are estimates.
+// Less than the 64 KiB that the state service allows for a transaction, as sizes are estimates.
 constexpr size_t kMaxTransactionBytes = 56 << 10;
-// Bytes of a transaction, and of each page in it, in addition to the values.
+// Estimated size of a transaction, and of each page in it, in addition to the values.
 constexpr size_t kTransactionOverheadBytes = 200;
 constexpr size_t kMutationOverheadBytes = 80;
 
@@ -23,7 +23,7 @@
                                        const PageSplitter* splitter)
     : limits_(limits), pages_(pages), splitter_(splitter) {
   result_.transaction.preconditions.push_back(leadership);
-  result_.bytes = kTransactionOverheadBytes;
+  result_.request_bytes = kTransactionOverheadBytes;
 }
 
 bool TransactionBuilder::MayJoin(PageIndex origin) const {
@@ -39,7 +39,8 @@
   if (largest > limits_->max_value_bytes && !MayAddOversizedValue(origin, largest, now)) {
     return false;
   }
-  if (!IsEmpty() && result_.bytes + encoded.request_bytes > kMaxTransactionBytes) return false;
+  if (!IsEmpty() && result_.request_bytes + encoded.request_bytes > kMaxTransactionBytes)
+    return false;
   Append(std::move(encoded));
   return true;
 }
@@ -59,7 +60,7 @@
 
 bool TransactionBuilder::MayAddOversizedValue(PageIndex origin, size_t value_bytes, double now) {
   RecordPage& page = pages_->page(origin);
-  // It may be rejected with all pages in its transaction; the others must not wait for it.
+  // It may be rejected together with all pages in its transaction, and would delay the others.
   page.rejection.isolated = true;
   if (value_bytes <= limits_->current_max_value_bytes) return IsEmpty();
   page.rejection.backoff_until = now + kRejectedPageBackoffSeconds;
@@ -71,7 +72,7 @@
 }
 
 void TransactionBuilder::Append(EncodedPages encoded) {
-  result_.bytes += encoded.request_bytes;
+  result_.request_bytes += encoded.request_bytes;
   result_.largest_value_bytes = std::max(result_.largest_value_bytes, encoded.largest_value_bytes);
   for (size_t i = 0; i < encoded.pages.size(); ++i) {
     const PageIndex page_index = encoded.pages[i];
--- a/src/state/transaction_builder.h
+++ b/src/state/transaction_builder.h
@@ -1,8 +1,8 @@
-// Puts pages together into one compare-and-swap transaction.
+// Combines pages into one compare-and-swap transaction.
 //
-// The transaction is committed only if the leader key still has the version of this term, and
-// every page the version last seen (PROTOCOL, "POST /txn"). Sending it again after an
-// indeterminate outcome is therefore safe: at most one of the attempts is executed.
+// The transaction is committed only if the leader key still has the version of this term and every
+// page has the version last seen (PROTOCOL, "POST /txn"). Sending it again after an indeterminate
+// outcome is therefore safe: at most one of the attempts is executed.
 //
 // Used by GroupCommit, one builder for each transaction.
 #pragma once
@@ -19,24 +19,24 @@
 struct PageTransaction {
   Transaction transaction;
   std::vector<PageIndex> pages;
-  size_t bytes = 0;                // estimated size of the request
+  size_t request_bytes = 0;        // estimated size of the request
   size_t largest_value_bytes = 0;  // size of the largest value
 };
 
 class TransactionBuilder {
  public:
-  // `leadership` holds as long as this leader's term.
+  // `leadership` is the precondition that holds during this leader's term.
   TransactionBuilder(const Precondition& leadership, const RecordStoreLimits* limits,
                      RecordPages* pages, const PageSplitter* splitter);
 
   bool IsEmpty() const { return result_.pages.empty(); }
-  // Whether the limit of operations, and the isolation of rejected pages, let this page and
-  // those that are committed with it join the transaction.
+  // Whether this page, with the pages that must be committed with it, may be added, given the
+  // operation limit and the isolation of rejected pages.
   bool MayJoin(PageIndex origin) const;
-  // Adds the page, with those that are committed with it, and marks them in flight. Returns
-  // false, and adds nothing, if their sizes do not allow it. `now` is steady time in seconds.
+  // Adds the page, with the pages that must be committed with it, and marks them as in flight.
+  // Returns false and adds nothing if their sizes do not allow it. `now` is steady time in seconds.
   bool AddPage(PageIndex origin, double now);
-  // The finished transaction.
+  // The transaction with all pages added so far.
   const PageTransaction& result() const { return result_; }
 
  private:
--- a/src/state/write_scheduler.cc
+++ b/src/state/write_scheduler.cc
@@ -5,13 +5,13 @@
 namespace deckhall {
 namespace {
 
-// A deferred write becomes immediate after this many times `deferred_delay_s`.
+// A deferred write becomes immediate after this multiple of `deferred_delay_s`.
 constexpr double kDeferredMaxDelays = 3;
-// A background write becomes deferred after this time.
+// Age at which a background write becomes deferred.
 constexpr double kBackgroundMaxDelaySeconds = 5;
-// Write tokens that only immediate writes may take.
+// Write tokens reserved for immediate writes.
 constexpr double kWriteTokensKeptForImmediate = 2;
-// Share of the burst that is waited for at most.
+// Largest share of the burst that a write waits for.
 constexpr double kUsableBurstShare = 0.9;
 
 bool IsMoreUrgent(const DuePage& a, const DuePage& b) {
@@ -37,10 +37,10 @@
                            bool has_transaction_in_flight) const {
   const RecordPage& page = pages_->page(page_index);
   if (!page.changes.dirty || page.in_flight || now < page.rejection.backoff_until) return false;
-  // The other pages of a split are written with their origin.
+  // The other pages of a split are written together with their origin.
   if (page.split.IsSplitting() && page.split.origin != page_index) return false;
   if (priority != WritePriority::kBackground) return true;
-  // Background writes wait for each other: the more share a transaction, the fewer puts.
+  // Background writes are batched, so that more changes share a transaction and take fewer puts.
   return now - page.changes.dirty_since >= limits_->background_delay_s &&
          !has_transaction_in_flight;
 }
@@ -65,8 +65,8 @@
 bool WriteScheduler::HasWriteBudget(size_t puts, double available_tokens,
                                     WritePriority priority) const {
   if (puts <= 1) return HasSinglePutBudget(available_tokens, priority);
-  const double wanted = static_cast<double>(puts) + kWriteTokensKeptForImmediate;
-  return available_tokens >= std::min(wanted, UsableBurst());
+  const double needed_tokens = static_cast<double>(puts) + kWriteTokensKeptForImmediate;
+  return available_tokens >= std::min(needed_tokens, UsableBurst());
 }
 
 bool WriteScheduler::HasSinglePutBudget(double available_tokens, WritePriority priority) const {
@@ -78,9 +78,9 @@
     case WritePriority::kBackground:
       break;
   }
-  const double wanted = std::max(1 + 2 * kWriteTokensKeptForImmediate,
-                                 static_cast<double>(limits_->max_transaction_ops) / 3);
-  return available_tokens >= std::min(wanted, UsableBurst());
+  const double needed_tokens = std::max(1 + 2 * kWriteTokensKeptForImmediate,
+                                        static_cast<double>(limits_->max_transaction_ops) / 3);
+  return available_tokens >= std::min(needed_tokens, UsableBurst());
 }
 
 double WriteScheduler::UsableBurst() const { return limits_->write_burst * kUsableBurstShare; }
--- a/src/state/write_scheduler.h
+++ b/src/state/write_scheduler.h
@@ -1,8 +1,8 @@
-// Which dirty pages are due, and whether the write budget allows sending them.
+// Decides which dirty pages are due, and whether the write budget allows sending them.
 //
-// Guarantees: pure decisions over RecordPages; nothing is changed here. A write of lower
-// priority leaves write tokens for those of higher priority, and its effective priority rises
-// with its age, so that a steady flow of immediate writes can't starve it.
+// Guarantees: reads RecordPages without changing it. Writes of lower priority leave write tokens
+// for those of higher priority; their effective priority rises with age, so that a steady flow of
+// immediate writes can't starve them.
 //
 // Owned by GroupCommit.
 #pragma once
@@ -13,10 +13,10 @@
 
 namespace deckhall {
 
-// A page whose changes are to be written now.
+// A page whose changes are due to be written.
 struct DuePage {
   PageIndex index = kNoPage;
-  WritePriority priority = WritePriority::kBackground;  // effective
+  WritePriority priority = WritePriority::kBackground;  // effective priority
   double dirty_since = 0;                               // steady time, in seconds
 };
 
@@ -25,11 +25,11 @@
   WriteScheduler(const RecordPages* pages, const RecordStoreLimits* limits)
       : pages_(pages), limits_(limits) {}
 
-  // The pages to write at steady time `now`, the highest effective priority first, then the
-  // oldest change. While a transaction is in flight, background writes are not due.
+  // Returns the pages to write at steady time `now`, by descending effective priority, then by age
+  // of the oldest change. While a transaction is in flight, background writes are not due.
   std::vector<DuePage> ListDuePages(double now, bool has_transaction_in_flight) const;
 
-  // Whether `puts` puts that have to go together may be sent at this priority, with
+  // Whether `puts` puts that must be sent in one transaction may be sent at this priority, with
   // `available_tokens` in the write token bucket.
   bool HasWriteBudget(size_t puts, double available_tokens, WritePriority priority) const;
 
@@ -38,7 +38,8 @@
              bool has_transaction_in_flight) const;
   WritePriority EffectivePriority(const DirtyState& changes, double now) const;
   bool HasSinglePutBudget(double available_tokens, WritePriority priority) const;
-  // Waiting for more tokens than this could take for ever: the bucket may never be full.
+  // The most tokens that a write waits for. As the bucket may never be full, waiting for more could
+  // take forever.
   double UsableBurst() const;
 
   const RecordPages* pages_;
--- a/tests/cluster.cc
+++ b/tests/cluster.cc
@@ -150,8 +150,8 @@
         kStateTimeout, false,
         [c = c, act, ttl_ms] {
           KeyValueResponse a = act();
-          c->lease_ttl_[a.number] = ttl_ms / 1000.0;
-          c->lease_until_[a.number] = c->clock_.now + ttl_ms / 1000.0;
+          c->lease_ttl_[a.revision_or_lease] = ttl_ms / 1000.0;
+          c->lease_until_[a.revision_or_lease] = c->clock_.now + ttl_ms / 1000.0;
           return a;
         },
         done);
@@ -510,7 +510,7 @@
     }
     KeyValueResponse a;
     a.status = KeyValueStatus::kOk;
-    a.number = store_.revision;
+    a.revision_or_lease = store_.revision;
     Carry("state", shell->name,
           [this, shell, done = w.done, a] { OnNode(shell, [done, a] { done(a); }); });
   }
--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -95,7 +95,7 @@
     }
     committed.push_back(txn);
     a.status = KeyValueStatus::kOk;
-    a.number = revision;
+    a.revision_or_lease = revision;
     return a;
   }
   // A transaction that was held back is applied after all.
@@ -126,7 +126,7 @@
       a.found = true;
       a.entries.push_back({key, it->second.value, it->second.version});
     }
-    a.number = revision;
+    a.revision_or_lease = revision;
     Answer(std::move(done), a);
   }
   void List(const std::string& prefix, const std::string& after, Done done) override {
@@ -139,14 +139,14 @@
       if (a.truncated) break;
       a.entries.push_back({key, e.value, e.version});
     }
-    a.number = revision;
+    a.revision_or_lease = revision;
     Answer(std::move(done), a);
   }
   void GrantLease(int, Done done) override {
     KeyValueResponse a;
     a.status = refuse ? KeyValueStatus::kUnavailable : KeyValueStatus::kOk;
-    a.number = next_lease++;
-    if (!refuse) leases[a.number] = true;
+    a.revision_or_lease = next_lease++;
+    if (!refuse) leases[a.revision_or_lease] = true;
     Answer(std::move(done), a);
   }
   void KeepAliveLease(uint64_t lease, double, Done done) override {
