--- a/src/app/controller.cc
+++ b/src/app/controller.cc
@@ -151,7 +151,7 @@
     election_.LoseLeadership(LeadershipLossReason::kFencedByHigherTerm);
   };
   // Another controller may have stored a newer policy while it led.
-  policy_replicator_.ReadSoon();
+  policy_replicator_.ScheduleRead();
   leader->Start();
 }
 
--- a/src/app/controller.h
+++ b/src/app/controller.h
@@ -57,7 +57,7 @@
   void Tick();
   // Offers the disruption policy of this controller's own file to all controllers.
   void OfferPolicy(std::shared_ptr<const DisruptionPolicy> policy) {
-    policy_replicator_.Offer(std::move(policy));
+    policy_replicator_.SetLocalPolicy(std::move(policy));
   }
   // Serves a user's request. `done` is called once, at once or later; with 503 while no leader can
   // be reached, or when a status request exceeds the rate limit.
--- a/src/app/drains_command.cc
+++ b/src/app/drains_command.cc
@@ -63,9 +63,9 @@
            Count(d.machines_done, "machines done, ") + Count(d.machines_left, "left; ") +
            Count(d.replicas_moved, "replicas moved, ") + Count(d.replicas_moving, "moving; ") +
            Count(d.tasks_stopped, "tasks of arrays stopped; ") +
-           Count(d.steps_given_up, "steps given up\n");
-    if (d.state != DrainState::kDone && !d.why.empty()) {
-      out += "  waits for " + Ago(wall - d.waiting_since_wall) + ": " + d.why + "\n";
+           Count(d.evictions_given_up, "steps given up\n");
+    if (d.state != DrainState::kDone && !d.blocked_reason.empty()) {
+      out += "  waits for " + Ago(wall - d.waiting_since_wall) + ": " + d.blocked_reason + "\n";
     }
     if (d.state == DrainState::kDone && d.machines_done == 0) out += "  no machine matched\n";
     for (const EvictionRecord& eviction : records.evictions) {
--- a/src/drain/blocked_reason.h
+++ b/src/drain/blocked_reason.h
@@ -1,4 +1,4 @@
-// Why a voluntary disruption does not happen now, for operators and for tests.
+// Why a voluntary disruption is blocked now, for operators and tests.
 #pragma once
 
 #include <cstdint>
@@ -8,28 +8,28 @@
 
 enum class BlockedReason : uint8_t {
   kNotBlocked,
-  kPaused,           // the drain is paused
-  kPolicyNotRead,    // the state service has not told this leader the policy in force
-  kTakingOver,       // it is not known yet what runs where
-  kBudget,           // as much is down as the budget allows
-  kStopBudget,       // as many tasks of arrays were stopped as the budget allows
-  kLastReplica,      // no other replica of the job is up
-  kReplacementLate,  // an earlier replacement of the job does not become healthy
-  kNoPlace,          // no machine has room for the replacement
-  kNoImage,          // room is only where the image would have to be fetched
-  kZoneRule,         // one_zone or apart leave no zone
-  kReplicaStarting,  // a replica there does not run yet
-  kUnknownType,      // the cloud offers no such machine type
-  kMachineSilent,    // the machine does not answer
-  kArraysRunning,    // tasks of arrays end by themselves
-  kStepsAtOnce,      // as many steps are in flight as there may be
-  kStateService,     // a step is not durable yet
-  kReturning,        // the empty machine is to be returned
-  kStopping,         // tasks there were told to stop
-  kReplacing,        // steps are in flight
+  kPaused,                // the drain is paused
+  kPolicyUnconfirmed,     // the state service has not confirmed the policy in force to this leader
+  kFailover,              // after a failover, tasks are unreconciled or earlier stops unknown
+  kBudget,                // the limit of unavailable replicas is reached
+  kArrayStopBudget,       // the limit of stopped array tasks is reached
+  kLastReplica,           // no other replica of the job is available
+  kReplacementUnhealthy,  // an earlier replacement of the job did not become available
+  kInsufficientCapacity,  // no machine has free capacity for the replacement
+  kImageNotCached,        // machines with free capacity would have to fetch the image
+  kZoneConstraint,        // one_zone or apart leave no zone
+  kReplicaNotAvailable,   // the replica on the machine is not available yet
+  kUnknownType,           // the cloud does not offer the machine type
+  kMachineUnreachable,    // the machine does not respond
+  kArraysRunning,         // array tasks run to their end until the deadline
+  kEvictionLimit,         // EvictionLimits::max_evictions are in flight
+  kEvictionNotDurable,    // the record of an eviction is not durable yet
+  kScalingIn,             // the empty machine waits for its scale-in
+  kStopping,              // tasks on the machine are being stopped
+  kReplacing,             // evictions are in flight
 };
 
-// A reason with what it is about: a team, a job, or a machine.
+// A reason with its subject: a team, a job, a task, a machine, a machine type or a count.
 struct BlockedState {
   BlockedReason reason = BlockedReason::kNotBlocked;
   std::string subject;
@@ -38,7 +38,7 @@
   bool operator==(const BlockedState&) const = default;
 };
 
-// The reason in words.
-std::string Describe(const BlockedState& wait);
+// Returns the reason as text for operators; empty if not blocked.
+std::string Describe(const BlockedState& blocked);
 
 }  // namespace deckhall
--- a/src/drain/disruption_ledger.h
+++ b/src/drain/disruption_ledger.h
@@ -1,5 +1,5 @@
-// The one accountant of disruption: which replicas are not available, for whatever cause, and
-// whether one more may go down voluntarily. Every voluntary stop asks here first.
+// Tracks which replicas are unavailable, for whatever cause, and decides whether the disruption
+// budgets allow one more voluntary disruption. Every voluntary stop is checked here first.
 #pragma once
 
 #include <deque>
@@ -16,100 +16,101 @@
 
 namespace deckhall {
 
-// A replica is available once it has run for EvictionLimits::settle_s on a machine about which
-// there is no doubt, and is to stay there. One that never ran in this term counts only if an
-// earlier leader accepted its job: then it may have run, and is taken as down until it is seen.
+// A replica is available once it has run for EvictionLimits::settle_s on a machine that is not at
+// risk, unless it is to be stopped. A replica that has not run in this term counts only if an
+// earlier leader accepted its job: it may have run then, and is unavailable until it is reported.
 //
-// Changes are noted as they happen and looked at in Refresh(): the work for each does not depend
-// on the number of machines or jobs. Replicas have dense numbers, kept in compressed bitmaps.
+// Changes are recorded as they happen and evaluated in Refresh(), at a cost that does not depend on
+// the number of machines or jobs. Replicas are numbered densely, for use in compressed bitmaps.
 class DisruptionLedger : public DisruptionObserver {
  public:
-  // A machine not heard for `overdue_s` is in doubt.
-  DisruptionLedger(JobStore* job_store, Fleet* fleet, const Clock* clock, double overdue_s);
+  // A machine that sends nothing for `heartbeat_overdue_s` counts as at risk.
+  DisruptionLedger(JobStore* job_store, Fleet* fleet, const Clock* clock,
+                   double heartbeat_overdue_s);
 
-  // The policy in force. `confirmed`: the state service said so in this term; until then
-  // nothing voluntary is allowed. Null: nothing is counted, everything is allowed.
+  // Sets the policy in force. `confirmed`: the state service returned it in this term; until then
+  // no voluntary disruption is allowed. If null, nothing is tracked and everything is allowed.
   void ApplyPolicy(std::shared_ptr<const DisruptionPolicy> policy, bool confirmed);
   bool active() const { return policy_ != nullptr; }
-  // Takes in what changed since the last call.
+  // Evaluates the changes since the last call.
   void Refresh();
 
-  // Whether one more available replica of the job may go down now.
+  // Returns why no further available replica of the job may be disrupted now.
   BlockedState BlockedFromEvicting(JobIndex job_index) const;
-  // Whether what is down, chosen replicas included, is within the budgets of the job.
+  // Returns the budget of the job that the unavailable replicas, reserved ones included, exceed.
   BlockedState BudgetViolation(JobIndex job_index) const;
-  // Whether these tasks of arrays, one entry each, may be stopped now.
+  // Returns why these array tasks, given by one entry of their job each, may not be stopped now.
   BlockedState BlockedFromStopping(const std::vector<JobIndex>& tasks) const;
-  // A replica was chosen to be stopped: it counts as down from now on. Released when it was
-  // told to stop, or is not stopped after all.
+  // Counts a replica that was selected for a stop as unavailable from now on, until
+  // ReleaseDisruption(): called once its stop was requested or abandoned.
   void ReserveDisruption(JobIndex job_index, uint32_t task_index);
   void ReleaseDisruption(JobIndex job_index, uint32_t task_index);
   bool IsAvailable(JobIndex job_index, uint32_t task_index) const;
-  // Replicas of the job that are available.
   uint64_t CountAvailable(JobIndex job_index) const;
-  // Replicas of the team that are not available, as counted; for reports and tests.
+  // Unavailable replicas that count against the team's budget; for reports and tests.
   uint64_t CountUnavailable(const std::string& team) const;
 
   void ReplicaChanged(JobIndex job_index, uint32_t task_index) override;
   void ArrayTaskStopped(JobIndex job_index) override;
   void JobChanged(JobIndex job_index) override;
 
-  // Replicas and machines looked at so far, to bound the work as the fleet grows.
+  // Replicas evaluated so far; tests use it to bound the work as the fleet grows.
   uint64_t work_units() const { return work_units_; }
 
  private:
-  // What one budget counts.
-  struct Account {
+  // What counts against one budget.
+  struct BudgetUsage {
     std::string name;
-    std::optional<DownLimit> down;
-    std::optional<uint32_t> stopped;
-    Roaring expected;          // replicas that ran, or may have
-    Roaring unavailable;       // of those
-    std::deque<double> stops;  // times at which tasks of arrays were lost or stopped
+    std::optional<DownLimit> down_limit;
+    std::optional<uint32_t> max_stopped_tasks;
+    Roaring expected;               // replicas that have run, or may have
+    Roaring unavailable;            // subset of `expected`
+    std::deque<double> stop_times;  // when array tasks were lost or stopped, oldest first
   };
   struct Replica {
     JobIndex job = kNoIndex;
     uint32_t task = 0;
   };
-  // The numbers of a job's replicas, and the accounts that it belongs to.
+  // The replica numbers of a job, and the budgets that it counts against.
   struct CountedJob {
     uint32_t first_replica = 0;
     uint32_t replica_count = 0;
-    std::vector<size_t> accounts;
-    bool may_have_run = false;
+    std::vector<size_t> usages;
+    bool may_have_run = false;  // under an earlier leader
   };
 
-  // `first`: nothing was counted so far in this term, any replica may have run.
-  void Rebuild(bool first);
-  std::vector<size_t> AccountsOf(const Job& job);
-  size_t AccountFor(const std::string& team, const std::string& job_class);
+  // `first_policy`: nothing was tracked so far in this term, so any replica may have run.
+  void Rebuild(bool first_policy);
+  std::vector<size_t> UsagesOf(const Job& job);
+  size_t UsageFor(const std::string& team, const std::string& job_class);
   void AddJob(JobIndex job_index, bool may_have_run);
   void RemoveJob(JobIndex job_index);
-  void RefreshDoubts();
-  bool IsInDoubt(const Machine& machine) const;
+  void RefreshMachinesAtRisk();
+  bool IsAtRisk(const Machine& machine) const;
   Replica ReplicaOf(uint32_t number) const;
   void UpdateReplica(uint32_t number);
-  BlockedState BudgetShortfall(const CountedJob& job, uint64_t more) const;
-  size_t StopsInWindow(const Account& account) const;
+  BlockedState BudgetShortfall(const CountedJob& job, uint64_t additional) const;
+  size_t StopsInWindow(const BudgetUsage& usage) const;
 
   JobStore* job_store_;
   Fleet* fleet_;
   const Clock* clock_;
-  double overdue_s_;
+  double heartbeat_overdue_s_;
   std::shared_ptr<const DisruptionPolicy> policy_;
   bool confirmed_ = false;
-  // Losses before this term are not known: no array is stopped until they no longer count.
-  double stops_known_from_ = -1;
-  std::vector<Account> accounts_;
-  std::map<std::pair<std::string, std::string>, size_t> account_index_;
+  // Stops of array tasks are recorded from the first policy of this term on. Budgets that limit
+  // them allow none until the records cover a whole window.
+  double stop_history_complete_at_ = -1;
+  std::vector<BudgetUsage> usages_;
+  std::map<std::pair<std::string, std::string>, size_t> usage_index_;
   std::map<JobIndex, CountedJob> jobs_;
-  std::map<uint32_t, JobIndex> job_by_first_replica_;  // by its first number
+  std::map<uint32_t, JobIndex> job_by_first_replica_;
   uint32_t next_replica_ = 0;
-  Roaring changed_;                          // replicas to look at
-  Roaring available_;                        // replicas
-  Roaring held_;                             // replicas chosen to be stopped
-  Roaring doubtful_;                         // machines
-  std::multimap<double, uint32_t> settles_;  // when which replica has run for long enough
+  Roaring changed_replicas_;  // replicas to evaluate in Refresh()
+  Roaring available_replicas_;
+  Roaring reserved_;                              // replicas selected for a stop
+  Roaring machines_at_risk_;                      // machines with replicas of services
+  std::multimap<double, uint32_t> settle_times_;  // replicas by the time at which they settle
   mutable uint64_t work_units_ = 0;
 };
 
--- a/src/drain/drain_members.cc
+++ b/src/drain/drain_members.cc
@@ -8,7 +8,7 @@
                                std::vector<double> since_wall) {
   policy_ = std::move(policy);
   since_wall_ = std::move(since_wall);
-  CountPools();
+  UpdatePools();
   members_.assign(policy_ == nullptr ? 0 : policy_->drains.size(), Roaring());
   unidentified_ = Roaring();
   next_unexamined_ = 0;
@@ -24,23 +24,23 @@
   fleet_->placement_needed = true;
 }
 
-void DrainMembers::CountPools() {
+void DrainMembers::UpdatePools() {
   pool_count_ = provisioner_->pools().size();
-  all_pools_closed_ =
+  all_pools_drained_ =
       policy_ != nullptr && pool_count_ > 0 &&
       std::all_of(provisioner_->pools().begin(), provisioner_->pools().end(),
                   [this](const MachinePool& pool) {
                     return std::any_of(policy_->drains.begin(), policy_->drains.end(),
                                        [this, &pool](const DrainRequest& drain) {
-                                         return drain.machines.MayMatch(
+                                         return drain.machines.CoversPool(
                                              job_store_->types[pool.type],
                                              job_store_->zones[pool.zone]);
                                        });
                   });
 }
 
-bool DrainMembers::ReplacesOnly(const DrainRequest& drain) const {
-  return drain.machines.everything || all_pools_closed_;
+bool DrainMembers::CoversOnlyExistingMachines(const DrainRequest& drain) const {
+  return drain.machines.everything || all_pools_drained_;
 }
 
 bool DrainMembers::IsIdentified(const Machine& machine) const {
@@ -58,10 +58,10 @@
                                 job_store_->zones[machine.zone], machine.endpoint)) {
       continue;
     }
-    if (ReplacesOnly(drain) && machine.provisioned_at_wall > since_wall_[d]) continue;
+    if (CoversOnlyExistingMachines(drain) && machine.provisioned_at_wall > since_wall_[d]) continue;
     members_[d].add(machine_index);
     machine.cordoned = true;
-    // Room that a drain needs is emptied by the drain alone.
+    // The drain alone empties the machine: its consolidation ends.
     if (machine.consolidating) machine.consolidating = machine.unschedulable = false;
     if (!drain.paused) machine.scale_in_when_empty = true;
     added = true;
@@ -71,27 +71,27 @@
 
 bool DrainMembers::Sync() {
   if (policy_ == nullptr || policy_->drains.empty()) return false;
-  // The machine types became known: whether all pools are closed did too.
+  // The pools changed, so which of them the drains cover is determined again.
   if (pool_count_ != provisioner_->pools().size()) ApplyPolicy(policy_, since_wall_);
   bool added = false;
-  const Roaring unknown = std::exchange(unidentified_, Roaring());
-  auto look = [this, &added](MachineIndex machine_index) {
+  const Roaring unidentified = std::exchange(unidentified_, Roaring());
+  auto examine = [this, &added](MachineIndex machine_index) {
     if (IsIdentified((*fleet_)[machine_index])) {
       added = Add(machine_index) || added;
     } else if (!(*fleet_)[machine_index].removed) {
       unidentified_.add(machine_index);
     }
   };
-  for (MachineIndex machine_index : unknown) look(machine_index);
-  for (; next_unexamined_ < fleet_->size(); ++next_unexamined_) look(next_unexamined_);
+  for (MachineIndex machine_index : unidentified) examine(machine_index);
+  for (; next_unexamined_ < fleet_->size(); ++next_unexamined_) examine(next_unexamined_);
   return added;
 }
 
 bool DrainMembers::PreventsScaleOut(const std::string& type, const std::string& zone) const {
-  if (policy_ == nullptr || all_pools_closed_) return false;
+  if (policy_ == nullptr || all_pools_drained_) return false;
   return std::any_of(
       policy_->drains.begin(), policy_->drains.end(),
-      [&type, &zone](const DrainRequest& drain) { return drain.machines.MayMatch(type, zone); });
+      [&type, &zone](const DrainRequest& drain) { return drain.machines.CoversPool(type, zone); });
 }
 
 }  // namespace deckhall
--- a/src/drain/drain_records.cc
+++ b/src/drain/drain_records.cc
@@ -40,8 +40,8 @@
   PutCount(writer, "replicas_moved", progress.replicas_moved);
   PutCount(writer, "replicas_moving", progress.replicas_moving);
   PutCount(writer, "tasks_stopped", progress.tasks_stopped);
-  PutCount(writer, "given_up", progress.steps_given_up);
-  PutString(writer, "why", std::string_view(progress.why).substr(0, kMaxReasonBytes));
+  PutCount(writer, "given_up", progress.evictions_given_up);
+  PutString(writer, "why", std::string_view(progress.blocked_reason).substr(0, kMaxReasonBytes));
   PutNumber(writer, "waiting_since", progress.waiting_since_wall);
   writer.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
@@ -77,8 +77,8 @@
   JsonU64(document, "replicas_moved", &progress.replicas_moved);
   JsonU64(document, "replicas_moving", &progress.replicas_moving);
   JsonU64(document, "tasks_stopped", &progress.tasks_stopped);
-  JsonU64(document, "given_up", &progress.steps_given_up);
-  JsonString(document, "why", &progress.why);
+  JsonU64(document, "given_up", &progress.evictions_given_up);
+  JsonString(document, "why", &progress.blocked_reason);
   JsonNumber(document, "waiting_since", &progress.waiting_since_wall);
   return progress;
 }
--- a/src/drain/eviction_controller.cc
+++ b/src/drain/eviction_controller.cc
@@ -7,34 +7,35 @@
 namespace deckhall {
 namespace {
 
-// Machines that one tick looks at, over all drains.
-constexpr size_t kMostLooks = 64;
-// A drain's machines are put in order anew after so many seconds.
-constexpr double kSortEvery = 5;
-constexpr double kWriteEvery = 5;
-// Replicas for which room elsewhere is got ready.
-constexpr size_t kRoomAhead = 16;
+// Machines examined in one tick, over all drains.
+constexpr size_t kMaxExaminedPerTick = 64;
+// A drain's machines are sorted again after this period.
+constexpr double kSortIntervalSeconds = 5;
+constexpr double kWriteIntervalSeconds = 5;
+// Replicas for which capacity is requested ahead of their evictions.
+constexpr size_t kMaxJobsAwaitingCapacity = 16;
 
 }  // namespace
 
-EvictionController::EvictionController(const EvictionDependencies& ports)
-    : job_store_(ports.job_store),
-      fleet_(ports.fleet),
-      free_capacity_(ports.free_capacity),
-      provisioner_(ports.provisioner),
-      gangs_(ports.gang_supervisor),
-      record_store_(ports.record_store),
-      ledger_(ports.ledger),
-      clock_(ports.clock),
-      members_(ports.job_store, ports.fleet, ports.provisioner),
-      eviction_tracker_(ports.job_store, ports.fleet, ports.record_store, ports.clock),
-      places_(ports.job_store, ports.free_capacity, ports.clock) {}
+EvictionController::EvictionController(const EvictionDependencies& dependencies)
+    : job_store_(dependencies.job_store),
+      fleet_(dependencies.fleet),
+      free_capacity_(dependencies.free_capacity),
+      provisioner_(dependencies.provisioner),
+      gang_supervisor_(dependencies.gang_supervisor),
+      record_store_(dependencies.record_store),
+      ledger_(dependencies.ledger),
+      clock_(dependencies.clock),
+      members_(dependencies.job_store, dependencies.fleet, dependencies.provisioner),
+      eviction_tracker_(dependencies.job_store, dependencies.fleet, dependencies.record_store,
+                        dependencies.clock),
+      replacement_finder_(dependencies.job_store, dependencies.free_capacity, dependencies.clock) {}
 
 bool EvictionController::LoadRecord(RecordId record_id, const std::string& text) {
   if (std::optional<DrainProgress> progress = DecodeProgress(text)) {
-    record_store_->Reserve(record_id, kProgressBytes);
+    record_store_->Reserve(record_id, kMaxProgressBytes);
     const std::string name = progress->drain;
-    loaded_[name] = {record_id, std::move(*progress)};
+    loaded_progress_[name] = {record_id, std::move(*progress)};
     return true;
   }
   return eviction_tracker_.LoadRecord(record_id, text);
@@ -48,82 +49,83 @@
   if (policy == policy_) return;
   policy_ = std::move(policy);
   for (Drain& drain : drains_) {
-    loaded_[drain.progress.drain] = {drain.record_id, drain.progress};
+    loaded_progress_[drain.progress.drain] = {drain.record_id, drain.progress};
   }
   drains_.clear();
-  std::vector<double> since;
+  std::vector<double> start_times;
   if (policy_ != nullptr) {
-    for (const DrainRequest& order : policy_->drains) {
+    for (const DrainRequest& request : policy_->drains) {
       Drain& drain = drains_.emplace_back();
-      drain.order = &order;
+      drain.request = &request;
       drain.last_progress_at = clock_->Now();
-      auto before = loaded_.find(order.name);
-      if (before != loaded_.end()) {
-        drain.record_id = before->second.first;
-        drain.progress = before->second.second;
-        loaded_.erase(before);
+      auto previous = loaded_progress_.find(request.name);
+      if (previous != loaded_progress_.end()) {
+        drain.record_id = previous->second.first;
+        drain.progress = previous->second.second;
+        loaded_progress_.erase(previous);
       } else {
-        drain.progress.drain = order.name;
+        drain.progress.drain = request.name;
         drain.progress.since_wall = clock_->Wall();
-        spdlog::info("drain={}: started", order.name);
+        spdlog::info("drain={}: started", request.name);
       }
-      since.push_back(drain.progress.since_wall);
+      start_times.push_back(drain.progress.since_wall);
     }
   }
-  members_.ApplyPolicy(policy_, std::move(since));
+  members_.ApplyPolicy(policy_, std::move(start_times));
   image_wait_since_.clear();
-  next_write_ = 0;
+  next_write_at_ = 0;
 }
 
 EvictionController::Drain* EvictionController::Find(const std::string& name) {
   auto it = std::find_if(drains_.begin(), drains_.end(),
-                         [&name](const Drain& drain) { return drain.order->name == name; });
+                         [&name](const Drain& drain) { return drain.request->name == name; });
   return it == drains_.end() ? nullptr : &*it;
 }
 
-bool EvictionController::InForce(const std::string& name) const {
+bool EvictionController::IsActiveDrain(const std::string& name) const {
   return policy_ != nullptr && policy_->Find(name) != nullptr && !policy_->Find(name)->paused;
 }
 
-void EvictionController::RecordProgress(const std::string& name) {
+void EvictionController::MarkProgress(const std::string& name) {
   if (Drain* drain = Find(name)) drain->last_progress_at = clock_->Now();
 }
 
 void EvictionController::Tick() {
   ledger_->Refresh();
-  // Without a policy the steps of an earlier one are still followed to their end.
+  // Without a policy, the evictions of the previous one are still advanced until they end.
   AdvanceEvictions();
-  jobs_needing_room_.clear();
+  jobs_awaiting_capacity_.clear();
   if (policy_ == nullptr) return;
   if (members_.Sync()) {
     for (Drain& drain : drains_) drain.sorted_at = -1;
   }
   StartEvictions();
-  double ahead = 0;
-  for (JobIndex job_index : jobs_needing_room_) ahead += (*job_store_)[job_index].spec.cores;
-  free_capacity_->SetPlannedCores(ahead);
+  double planned_cores = 0;
+  for (JobIndex job_index : jobs_awaiting_capacity_)
+    planned_cores += (*job_store_)[job_index].spec.cores;
+  free_capacity_->SetPlannedCores(planned_cores);
   for (Drain& drain : drains_) RefreshDrain(&drain);
-  if (clock_->Now() < next_write_) return;
-  next_write_ = clock_->Now() + kWriteEvery;
-  for (Drain& drain : drains_) SaveProgress(&drain);
+  if (clock_->Now() < next_write_at_) return;
+  next_write_at_ = clock_->Now() + kWriteIntervalSeconds;
+  for (Drain& drain : drains_) WriteProgress(&drain);
   if (!confirmed_) return;
-  // What is left of drains that were withdrawn.
-  for (const auto& [name, before] : std::exchange(loaded_, {})) {
+  // Removes the records of withdrawn drains.
+  for (const auto& [name, previous] : std::exchange(loaded_progress_, {})) {
     spdlog::info("drain={}: withdrawn", name);
-    if (before.first != kNoRecord) record_store_->Remove(before.first);
+    if (previous.first != kNoRecord) record_store_->Remove(previous.first);
   }
 }
 
 bool EvictionController::HasUnknownType(const Drain& drain) const {
-  const std::string& type = drain.order->machines.type;
+  const std::string& type = drain.request->machines.type;
   if (type.empty() || !provisioner_->types_known() || drain.progress.machines_done > 0)
     return false;
   return provisioner_->TypeOf(job_store_->types.Find(type)) == nullptr;
 }
 
 bool EvictionController::IsPastDeadline(const Drain& drain) const {
-  return drain.order->deadline_s &&
-         clock_->Wall() >= drain.progress.since_wall + *drain.order->deadline_s;
+  return drain.request->deadline_s &&
+         clock_->Wall() >= drain.progress.since_wall + *drain.request->deadline_s;
 }
 
 void EvictionController::SortMachines(Drain* drain) {
@@ -133,16 +135,16 @@
                           drains_.begin());
   drain->sorted_at = clock_->Now();
   drain->queue.clear();
-  std::vector<MachineIndex> gone;
-  for (uint32_t mi : members_.MachinesOf(index)) {
+  std::vector<MachineIndex> removed_machines;
+  for (uint32_t machine_index : members_.MachinesOf(index)) {
     ++examined_;
-    if ((*fleet_)[mi].removed) {
-      gone.push_back(mi);
+    if ((*fleet_)[machine_index].removed) {
+      removed_machines.push_back(machine_index);
     } else {
-      drain->queue.push_back(mi);
+      drain->queue.push_back(machine_index);
     }
   }
-  for (MachineIndex machine_index : gone) {
+  for (MachineIndex machine_index : removed_machines) {
     members_.Remove(index, machine_index);
     ++drain->progress.machines_done;
     drain->last_progress_at = clock_->Now();
@@ -155,43 +157,45 @@
 }
 
 void EvictionController::StartEvictions() {
-  std::vector<Drain*> turn;
+  std::vector<Drain*> candidates;
   for (Drain& drain : drains_) {
-    const bool due = drain.sorted_at < 0 || clock_->Now() - drain.sorted_at > kSortEvery;
+    const bool due = drain.sorted_at < 0 || clock_->Now() - drain.sorted_at > kSortIntervalSeconds;
     if (due && drain.cursor >= drain.queue.size()) SortMachines(&drain);
     if (drain.cursor >= drain.queue.size()) drain.cursor = 0;
-    if (!drain.queue.empty()) turn.push_back(&drain);
+    if (!drain.queue.empty()) candidates.push_back(&drain);
   }
-  // The one that had its last step longest ago goes first, so that none of those that want the
-  // same budget gets all of it.
-  std::stable_sort(turn.begin(), turn.end(), [](const Drain* a, const Drain* b) {
+  // The drain whose last eviction is longest ago goes first, so that drains that share a budget
+  // take turns in using it.
+  std::stable_sort(candidates.begin(), candidates.end(), [](const Drain* a, const Drain* b) {
     return a->last_eviction_at < b->last_eviction_at;
   });
-  const size_t share = turn.empty() ? 0 : std::max<size_t>(1, kMostLooks / turn.size());
-  std::map<Drain*, size_t> looks;
-  for (Drain* drain : turn) looks[drain] = std::min(share, drain->queue.size());
-  bool any = true;
-  while (any) {
-    any = false;
-    for (Drain* drain : turn) any = StartEvictionOf(drain, &looks[drain]) || any;
+  const size_t share =
+      candidates.empty() ? 0 : std::max<size_t>(1, kMaxExaminedPerTick / candidates.size());
+  std::map<Drain*, size_t> remaining;
+  for (Drain* drain : candidates) remaining[drain] = std::min(share, drain->queue.size());
+  bool started_any = true;
+  while (started_any) {
+    started_any = false;
+    for (Drain* drain : candidates)
+      started_any = StartNextEviction(drain, &remaining[drain]) || started_any;
   }
 }
 
-bool EvictionController::StartEvictionOf(Drain* drain, size_t* looks) {
-  while (*looks > 0) {
+bool EvictionController::StartNextEviction(Drain* drain, size_t* remaining) {
+  while (*remaining > 0) {
     if (drain->cursor >= drain->queue.size()) {
-      // Once round; the rest of the looks would see the same again.
-      *looks = 0;
+      // The whole queue was examined; a second pass would find the same.
+      *remaining = 0;
       return false;
     }
     const MachineIndex machine_index = drain->queue[drain->cursor];
     ++examined_;
-    --*looks;
+    --*remaining;
     if (!Examine(drain, machine_index)) {
       ++drain->cursor;
       continue;
     }
-    // Others go first; the same machine is looked at again in the next round.
+    // Other drains go first; the next round examines the same machine again.
     drain->last_eviction_at = drain->last_progress_at = clock_->Now();
     return true;
   }
@@ -201,27 +205,27 @@
 bool EvictionController::Examine(Drain* drain, MachineIndex machine_index) {
   const Machine& machine = (*fleet_)[machine_index];
   if (machine.removed) return false;
-  if (drain->order->paused) {
+  if (drain->request->paused) {
     drain->blocked = {BlockedReason::kPaused, ""};
     return false;
   }
   if (!confirmed_) {
-    drain->blocked = {BlockedReason::kPolicyNotRead, ""};
+    drain->blocked = {BlockedReason::kPolicyUnconfirmed, ""};
     return false;
   }
   if (machine.attempts.empty()) {
-    drain->blocked = {BlockedReason::kReturning, ""};
+    drain->blocked = {BlockedReason::kScalingIn, ""};
     return false;
   }
   drain->blocked = {BlockedReason::kStopping, machine.name};
-  // The books of the machine may grow while it is looked at, but nothing is taken out.
+  // Attempts may be added to the machine during the loop, but none are removed.
   for (size_t i = 0; i < (*fleet_)[machine_index].attempts.size(); ++i) {
     ++examined_;
     TaskAttempt& attempt = (*fleet_)[machine_index].attempts[i];
     if (attempt.released || !attempt.wanted || attempt.job == kNoIndex) continue;
-    const bool begun = attempt.service ? ExamineReplica(drain, machine_index, attempt)
-                                       : ExamineArrayTask(drain, machine_index, &attempt);
-    if (begun) return true;
+    const bool started = attempt.service ? ExamineReplica(drain, machine_index, attempt)
+                                         : ExamineArrayTask(drain, machine_index, &attempt);
+    if (started) return true;
   }
   return false;
 }
@@ -229,24 +233,25 @@
 BlockedState EvictionController::BlockedFromMoving(MachineIndex machine_index,
                                                    const TaskAttempt& attempt) const {
   const Job& job = (*job_store_)[attempt.job];
-  if (eviction_tracker_.evictions().size() >= policy_->times.max_evictions) {
-    return {BlockedReason::kStepsAtOnce, ""};
+  if (eviction_tracker_.evictions().size() >= policy_->eviction_limits.max_evictions) {
+    return {BlockedReason::kEvictionLimit, ""};
   }
-  if (job.tasks_unreconciled > 0) return {BlockedReason::kTakingOver, job.id};
+  if (job.tasks_unreconciled > 0) return {BlockedReason::kFailover, job.id};
   if (attempt.state != TaskState::kRunning)
-    return {BlockedReason::kReplicaStarting, attempt.task_name};
+    return {BlockedReason::kReplicaNotAvailable, attempt.task_name};
   if ((*fleet_)[machine_index].unreachable_count > 0 ||
       (*fleet_)[machine_index].probe_failures > 0) {
-    return {BlockedReason::kMachineSilent, (*fleet_)[machine_index].name};
+    return {BlockedReason::kMachineUnreachable, (*fleet_)[machine_index].name};
   }
   if (!ledger_->IsAvailable(attempt.job, attempt.task_index))
-    return {BlockedReason::kReplicaStarting, attempt.task_name};
-  const uint64_t up = ledger_->CountAvailable(attempt.job);
-  auto pause = backoffs_.find(attempt.job);
-  if (pause != backoffs_.end() && (up < job.tasks.size() || clock_->Now() < pause->second.until)) {
-    return {BlockedReason::kReplacementLate, job.id};
+    return {BlockedReason::kReplicaNotAvailable, attempt.task_name};
+  const uint64_t available_count = ledger_->CountAvailable(attempt.job);
+  auto backoff = backoffs_.find(attempt.job);
+  if (backoff != backoffs_.end() &&
+      (available_count < job.tasks.size() || clock_->Now() < backoff->second.until)) {
+    return {BlockedReason::kReplacementUnhealthy, job.id};
   }
-  if (job.tasks.size() > 1 && up < 2) return {BlockedReason::kLastReplica, job.id};
+  if (job.tasks.size() > 1 && available_count < 2) return {BlockedReason::kLastReplica, job.id};
   return ledger_->BlockedFromEvicting(attempt.job);
 }
 
@@ -254,32 +259,36 @@
                                         const TaskAttempt& attempt) {
   if (attempt.state != TaskState::kRunning) MoveStuckReplica(machine_index, attempt);
   if (eviction_tracker_.IsEvicting(attempt.job, attempt.task_index)) return false;
-  BlockedState wait = BlockedFromMoving(machine_index, attempt);
-  ReplacementFinder::Result place;
-  if (!wait) {
-    auto since = image_wait_since_.try_emplace(attempt.job, clock_->Now()).first;
-    const bool fetch = clock_->Now() - since->second >= policy_->times.image_wait_s;
-    place = places_.Find(attempt.job, machine_index, fetch);
-    wait = place.blocked;
+  BlockedState blocked = BlockedFromMoving(machine_index, attempt);
+  ReplacementFinder::Result replacement;
+  if (!blocked) {
+    auto waiting_since = image_wait_since_.try_emplace(attempt.job, clock_->Now()).first;
+    const bool allow_fetch =
+        clock_->Now() - waiting_since->second >= policy_->eviction_limits.image_wait_s;
+    replacement = replacement_finder_.Find(attempt.job, machine_index, allow_fetch);
+    blocked = replacement.blocked;
   }
-  if (wait) {
-    drain->blocked = wait;
-    if (jobs_needing_room_.size() < kRoomAhead) jobs_needing_room_.push_back(attempt.job);
+  if (blocked) {
+    drain->blocked = blocked;
+    if (jobs_awaiting_capacity_.size() < kMaxJobsAwaitingCapacity)
+      jobs_awaiting_capacity_.push_back(attempt.job);
     return false;
   }
-  if (place.has_image) image_wait_since_.erase(attempt.job);
+  if (replacement.has_image) image_wait_since_.erase(attempt.job);
   ledger_->ReserveDisruption(attempt.job, attempt.task_index);
-  ReservePlace(&eviction_tracker_.Begin(drain->order->name, attempt.job, attempt.task_index,
-                                        machine_index, attempt.number),
-               place.machine);
+  ReserveReplacementCapacity(
+      &eviction_tracker_.Begin(drain->request->name, attempt.job, attempt.task_index, machine_index,
+                               attempt.number),
+      replacement.machine);
   drain->blocked = {BlockedReason::kReplacing, (*job_store_)[attempt.job].id};
   return true;
 }
 
-// A replica that does not come up on a drained machine is down already: it is tried elsewhere.
+// A replica that does not start on a drained machine is unavailable already: it is stopped there
+// without a budget check and placed elsewhere.
 void EvictionController::MoveStuckReplica(MachineIndex machine_index, const TaskAttempt& attempt) {
   if (attempt.running_since >= 0 || !attempt.wanted) return;
-  if (clock_->Now() - attempt.launched_at < policy_->times.replace_within_s) return;
+  if (clock_->Now() - attempt.launched_at < policy_->eviction_limits.replacement_timeout_s) return;
   fleet_->RequestStop(
       machine_index,
       fleet_->FindAttempt(machine_index, attempt.job, attempt.task_index, attempt.number), 0);
@@ -293,19 +302,19 @@
     drain->blocked = {BlockedReason::kArraysRunning, job.id};
     return false;
   }
-  // A gang is stopped whole or not at all.
+  // A gang is stopped as a whole, so all its tasks count.
   const size_t count = job.spec.gang ? job.machines.size() : 1;
-  const BlockedState wait =
+  const BlockedState blocked =
       ledger_->BlockedFromStopping(std::vector<JobIndex>(count, attempt->job));
-  if (wait) {
-    drain->blocked = wait;
+  if (blocked) {
+    drain->blocked = blocked;
     return false;
   }
-  spdlog::info("drain={} task={} machine={}: array task stopped, past the deadline",
-               drain->order->name, attempt->task_name, (*fleet_)[machine_index].name);
+  spdlog::info("drain={} task={} machine={}: array task stopped: drain deadline passed",
+               drain->request->name, attempt->task_name, (*fleet_)[machine_index].name);
   drain->progress.tasks_stopped += count;
   if (job.spec.gang) {
-    gangs_->StopGang(attempt->job, "a drain is past its deadline");
+    gang_supervisor_->StopGang(attempt->job, "drain deadline passed");
   } else {
     fleet_->RequestStop(machine_index, attempt, GracePeriodOf(job));
   }
@@ -318,43 +327,43 @@
   progress.replicas_moving = eviction_tracker_.CountEvictions(progress.drain);
   const bool was_done = progress.state == DrainState::kDone;
   progress.machines_left = drain->queue.size();
-  const bool empty = drain->sorted_at >= 0 && confirmed_ && drain->queue.empty();
-  const bool unknown = drain->queue.empty() && HasUnknownType(*drain);
+  const bool drained = drain->sorted_at >= 0 && confirmed_ && drain->queue.empty();
+  const bool unknown_type = drain->queue.empty() && HasUnknownType(*drain);
   progress.state = DrainState::kActive;
-  if (empty && progress.replicas_moving == 0 && !unknown) progress.state = DrainState::kDone;
-  if (drain->order->paused) progress.state = DrainState::kPaused;
+  if (drained && progress.replicas_moving == 0 && !unknown_type) progress.state = DrainState::kDone;
+  if (drain->request->paused) progress.state = DrainState::kPaused;
   if (progress.state == DrainState::kPaused) {
     drain->blocked = {BlockedReason::kPaused, ""};
   } else if (progress.state == DrainState::kDone) {
     drain->blocked = {};
   } else if (!confirmed_) {
-    drain->blocked = {BlockedReason::kPolicyNotRead, ""};
-  } else if (unknown) {
-    drain->blocked = {BlockedReason::kUnknownType, drain->order->machines.type};
+    drain->blocked = {BlockedReason::kPolicyUnconfirmed, ""};
+  } else if (unknown_type) {
+    drain->blocked = {BlockedReason::kUnknownType, drain->request->machines.type};
   } else if (drain->queue.empty()) {
     drain->blocked = {BlockedReason::kReplacing, std::to_string(progress.replicas_moving)};
   }
   if (progress.state == DrainState::kDone && !was_done) {
     spdlog::info("drain={} machines={} replicas_moved={}: done", progress.drain,
                  progress.machines_done, progress.replicas_moved);
-    next_write_ = 0;
+    next_write_at_ = 0;
   }
-  progress.why = Describe(drain->blocked);
+  progress.blocked_reason = Describe(drain->blocked);
   progress.waiting_since_wall = clock_->Wall() - (clock_->Now() - drain->last_progress_at);
 }
 
-void EvictionController::SaveProgress(Drain* drain) {
-  // The time since which it waits alone is no reason to write.
-  DrainProgress shown = drain->progress;
-  if (shown.why.empty()) shown.waiting_since_wall = 0;
-  std::string text = EncodeProgress(shown);
+void EvictionController::WriteProgress(Drain* drain) {
+  // A waiting time is stored only while the drain is blocked: it alone causes no write.
+  DrainProgress stored_progress = drain->progress;
+  if (stored_progress.blocked_reason.empty()) stored_progress.waiting_since_wall = 0;
+  std::string text = EncodeProgress(stored_progress);
   if (text == drain->stored_text) return;
   drain->stored_text = text;
   if (drain->record_id == kNoRecord) {
     drain->record_id =
-        record_store_->Add(std::move(text), kProgressBytes, WritePriority::kDeferred);
+        record_store_->Add(std::move(text), kMaxProgressBytes, WritePriority::kDeferred);
   } else {
-    record_store_->Update(drain->record_id, std::move(text), kProgressBytes,
+    record_store_->Update(drain->record_id, std::move(text), kMaxProgressBytes,
                           WritePriority::kBackground);
   }
 }
--- a/src/drain/eviction_tracker.cc
+++ b/src/drain/eviction_tracker.cc
@@ -15,34 +15,34 @@
   for (const Loaded& loaded : loaded_) {
     const EvictionRecord& record = loaded.record;
     const JobIndex job_index = job_store_->Find(record.job);
-    const bool live = job_index != kNoIndex && (*job_store_)[job_index].has_spec &&
-                      (*job_store_)[job_index].lifecycle == JobLifecycle::kActive &&
-                      record.task < (*job_store_)[job_index].tasks.size();
-    if (!live) {
-      record_store_->Remove(loaded.row);
+    const bool is_active = job_index != kNoIndex && (*job_store_)[job_index].has_spec &&
+                           (*job_store_)[job_index].lifecycle == JobLifecycle::kActive &&
+                           record.task < (*job_store_)[job_index].tasks.size();
+    if (!is_active) {
+      record_store_->Remove(loaded.record_id);
       continue;
     }
     Eviction eviction;
     eviction.drain = record.drain;
     eviction.job = job_index;
     eviction.task_index = static_cast<uint32_t>(record.task);
-    eviction.from = fleet_->Find(record.machine);
+    eviction.source_machine = fleet_->Find(record.machine);
     eviction.attempt_number = record.attempt;
     eviction.phase = EvictionPhase::kAdopted;
     eviction.phase_since = clock_->Now();
-    eviction.record_id = loaded.row;
+    eviction.record_id = loaded.record_id;
     evictions_.push_back(std::move(eviction));
   }
   loaded_.clear();
 }
 
 Eviction& EvictionTracker::Begin(const std::string& drain, JobIndex job, uint32_t task_index,
-                                 MachineIndex from, uint64_t attempt_number) {
+                                 MachineIndex source_machine, uint64_t attempt_number) {
   EvictionRecord record;
   record.drain = drain;
   record.job = (*job_store_)[job].id;
   record.task = task_index;
-  record.machine = (*fleet_)[from].name;
+  record.machine = (*fleet_)[source_machine].name;
   record.attempt = attempt_number;
   record.since_wall = clock_->Wall();
   const std::string text = EncodeEviction(record);
@@ -50,7 +50,7 @@
   eviction.drain = drain;
   eviction.job = job;
   eviction.task_index = task_index;
-  eviction.from = from;
+  eviction.source_machine = source_machine;
   eviction.attempt_number = attempt_number;
   eviction.phase_since = clock_->Now();
   eviction.record_id = record_store_->Add(text, text.size(), WritePriority::kImmediate);
--- a/src/drain/eviction_tracker.h
+++ b/src/drain/eviction_tracker.h
@@ -1,6 +1,5 @@
-// The steps in flight: replicas that are being moved off machines, from the choice until the
-// replacement is healthy. Each is durable before its replica is told to stop, and found again
-// by a new leader.
+// The evictions in flight, from the selection of a replica until its replacement is available. Each
+// is durable before the stop of its replica is requested, so that a new leader can resume it.
 #pragma once
 
 #include <cstdint>
@@ -15,22 +14,22 @@
 namespace deckhall {
 
 enum class EvictionPhase : uint8_t {
-  kAdopted,    // begun by an earlier leader; what came of it is not known yet
-  kRecording,  // chosen; its row is on the way to the state service
-  kStopping,   // its replica was told to stop
-  kReplacing,  // the replica is gone; its replacement starts, or has to prove itself
+  kAdopted,    // started by an earlier leader; its outcome is not known yet
+  kRecording,  // selected; its record is being written to the state service
+  kStopping,   // the stop of its replica was requested
+  kReplacing,  // the replica has stopped; its replacement is not available yet
 };
 
 struct Eviction {
   std::string drain;
   JobIndex job = kNoIndex;
   uint32_t task_index = 0;
-  MachineIndex from = kNoIndex;  // kNone: not known to this leader
+  MachineIndex source_machine = kNoIndex;  // kNoIndex if unknown to this leader
   uint64_t attempt_number = 0;
   EvictionPhase phase = EvictionPhase::kRecording;
   double phase_since = 0;
-  uint32_t tries = 0;                           // machines tried for the replacement
-  MachineIndex replacement_machine = kNoIndex;  // where room is held for it
+  uint32_t replacement_attempts = 0;            // time-outs of replacements
+  MachineIndex replacement_machine = kNoIndex;  // where capacity is reserved
   RecordId record_id = kNoRecord;
 };
 
@@ -39,24 +38,24 @@
   EvictionTracker(JobStore* job_store, Fleet* fleet, RecordStore* record_store, const Clock* clock)
       : job_store_(job_store), fleet_(fleet), record_store_(record_store), clock_(clock) {}
 
-  // Reads one row if it is a step.
+  // Loads a record if it is an eviction.
   bool LoadRecord(RecordId record_id, const std::string& text);
-  // After all rows: steps of jobs that are over are dropped.
+  // Called after all records were loaded. Drops the evictions of jobs that have ended.
   void FinishLoad();
 
-  // Begins a step; its row goes out at once.
-  Eviction& Begin(const std::string& drain, JobIndex job, uint32_t task_index, MachineIndex from,
-                  uint64_t attempt_number);
-  bool Durable(const Eviction& eviction) const {
+  // Starts an eviction and queues its record for an immediate write.
+  Eviction& Begin(const std::string& drain, JobIndex job, uint32_t task_index,
+                  MachineIndex source_machine, uint64_t attempt_number);
+  bool IsRecordDurable(const Eviction& eviction) const {
     return record_store_->IsDurable(eviction.record_id);
   }
   void SetPhase(Eviction* eviction, EvictionPhase phase);
-  // Forgets the steps for which `over` is true.
-  template <class Over>
-  void RemoveIf(Over over) {
+  // Drops the evictions for which `is_finished` returns true, with their records.
+  template <class Predicate>
+  void RemoveIf(Predicate is_finished) {
     std::vector<Eviction> kept;
     for (Eviction& eviction : evictions_) {
-      if (over(&eviction)) {
+      if (is_finished(&eviction)) {
         record_store_->Remove(eviction.record_id);
       } else {
         kept.push_back(std::move(eviction));
@@ -72,7 +71,7 @@
 
  private:
   struct Loaded {
-    RecordId row;
+    RecordId record_id;
     EvictionRecord record;
   };
 
--- a/src/drain/policy.cc
+++ b/src/drain/policy.cc
@@ -11,11 +11,11 @@
 namespace deckhall {
 namespace {
 
-constexpr double kMostSeconds = 10 * 365 * 86400.0;
-constexpr double kMostTasks = 1e6;
-constexpr double kMostRevision = 9e15;
-constexpr size_t kLongestName = 60;
-constexpr size_t kMostDrains = 200;
+constexpr double kMaxSeconds = 10 * 365 * 86400.0;
+constexpr double kMaxTasks = 1e6;
+constexpr double kMaxRevision = 9e15;
+constexpr size_t kMaxNameBytes = 60;
+constexpr size_t kMaxDrains = 200;
 
 using Check = Result<void, PolicyError>;
 
@@ -23,20 +23,20 @@
   return {PolicyErrorKind::kUnknownEntry, where, entry.Name()};
 }
 
-// Where the value of an entry stands, as operators read it.
+// Path of an entry for error messages.
 std::string PathOf(const std::string& where, const SExpression& entry) {
   return where + " " + entry.Name();
 }
 
-// Without trailing zeros.
-std::string Decimal(double value) {
+// Formats a number without trailing zeros.
+std::string FormatDecimal(double value) {
   std::string text = std::to_string(value);
   text.erase(text.find_last_not_of('0') + 1);
   if (text.back() == '.') text.pop_back();
   return text;
 }
 
-// The only value of an entry such as (name "value").
+// Reads the value of an entry of the form (name "value").
 Result<std::string, PolicyError> ReadValue(const SExpression& entry, const std::string& where) {
   std::string value = entry.Atom(1);
   if (entry.size() < 2 || value.empty()) {
@@ -46,25 +46,27 @@
 }
 
 Result<double, PolicyError> ReadNumber(const SExpression& entry, const std::string& where,
-                                       double least, double most) {
+                                       double min, double max) {
   const std::optional<double> value = ParseNumber(entry.Atom(1));
-  if (!value || *value < least || *value > most) {
-    return PolicyError{PolicyErrorKind::kOutOfRange, PathOf(where, entry),
-                       Decimal(least) + " to " + Decimal(most) + ": '" + entry.Atom(1) + "'"};
+  if (!value || *value < min || *value > max) {
+    return PolicyError{
+        PolicyErrorKind::kOutOfRange, PathOf(where, entry),
+        FormatDecimal(min) + " to " + FormatDecimal(max) + ": '" + entry.Atom(1) + "'"};
   }
   return *value;
 }
 
-Result<double, PolicyError> ReadWhole(const SExpression& entry, const std::string& where,
-                                      double least, double most) {
-  BOOST_OUTCOME_TRY(value, ReadNumber(entry, where, least, most));
+Result<double, PolicyError> ReadInteger(const SExpression& entry, const std::string& where,
+                                        double min, double max) {
+  BOOST_OUTCOME_TRY(value, ReadNumber(entry, where, min, max));
   if (value != std::floor(value)) {
-    return PolicyError{PolicyErrorKind::kNotWhole, PathOf(where, entry)};
+    return PolicyError{PolicyErrorKind::kNotInteger, PathOf(where, entry)};
   }
   return value;
 }
 
-// Calls `visit` for each list in the section, from the element `from` on, until one fails.
+// Calls `visit` for each element of the section from index `from` on, which must all be lists.
+// Stops at the first error.
 template <class Visit>
 Check ForEachList(const SExpression& section, int from, const std::string& where,
                   const Visit& visit) {
@@ -80,20 +82,20 @@
 Result<DownLimit, PolicyError> ReadDown(const SExpression& entry, const std::string& section) {
   const std::string where = section + " down";
   std::string text = entry.Atom(1);
-  const bool share = !text.empty() && text.back() == '%';
-  if (share) text.pop_back();
+  const bool is_percentage = !text.empty() && text.back() == '%';
+  if (is_percentage) text.pop_back();
   const std::optional<double> amount = ParseNumber(text);
-  if (!amount || *amount < 0 || (share ? *amount > 100 : *amount > kMostTasks)) {
+  if (!amount || *amount < 0 || (is_percentage ? *amount > 100 : *amount > kMaxTasks)) {
     return PolicyError{PolicyErrorKind::kInvalidLimit, where, entry.Atom(1)};
   }
-  if (!share && *amount != std::floor(*amount)) {
-    return PolicyError{PolicyErrorKind::kNotWholeReplicas, where};
+  if (!is_percentage && *amount != std::floor(*amount)) {
+    return PolicyError{PolicyErrorKind::kFractionalReplicas, where};
   }
   DownLimit limit;
-  limit.unit = share ? DownLimit::Unit::kShare : DownLimit::Unit::kReplicas;
-  limit.amount = share ? *amount / 100 : *amount;
+  limit.unit = is_percentage ? DownLimit::Unit::kShare : DownLimit::Unit::kReplicas;
+  limit.amount = is_percentage ? *amount / 100 : *amount;
   if (entry.size() > 2) {
-    if (entry.Atom(2) != "at-least-one" || !share) {
+    if (entry.Atom(2) != "at-least-one" || !is_percentage) {
       return PolicyError{PolicyErrorKind::kMisplacedAtLeastOne, where};
     }
     limit.at_least_one = true;
@@ -105,12 +107,12 @@
                       DisruptionBudget* budget) {
   if (entry.Name() == "down") {
     BOOST_OUTCOME_TRY(down, ReadDown(entry, where));
-    budget->down = down;
+    budget->down_limit = down;
     return Success();
   }
   if (entry.Name() == "stopped") {
-    BOOST_OUTCOME_TRY(stopped, ReadWhole(entry, where, 0, kMostTasks));
-    budget->stopped = static_cast<uint32_t>(stopped);
+    BOOST_OUTCOME_TRY(stopped, ReadInteger(entry, where, 0, kMaxTasks));
+    budget->max_stopped_tasks = static_cast<uint32_t>(stopped);
     return Success();
   }
   return UnknownEntry(where, entry);
@@ -121,7 +123,7 @@
   return ForEachList(entry, 1, "default", [policy](const SExpression& limit) -> Check {
     if (limit.Name() != "down") return UnknownEntry("default", limit);
     BOOST_OUTCOME_TRY(down, ReadDown(limit, "default"));
-    policy->default_down = down;
+    policy->default_down_limit = down;
     return Success();
   });
 }
@@ -136,18 +138,18 @@
 // (team "name" (down ...) (stopped ...)) or (class "team" "class" (down ...) ...)
 Check ReadBudget(const SExpression& entry, DisruptionPolicy* policy) {
   if (entry.Name() == "default") return ReadDefaultBudget(entry, policy);
-  const bool of_class = entry.Name() == "class";
-  if (entry.Name() != "team" && !of_class) return UnknownEntry("budgets", entry);
+  const bool is_class_budget = entry.Name() == "class";
+  if (entry.Name() != "team" && !is_class_budget) return UnknownEntry("budgets", entry);
   DisruptionBudget budget;
   budget.team = entry.Atom(1);
-  if (of_class) budget.job_class = entry.Atom(2);
-  if (budget.team.empty() || (of_class && budget.job_class.empty())) {
+  if (is_class_budget) budget.job_class = entry.Atom(2);
+  if (budget.team.empty() || (is_class_budget && budget.job_class.empty())) {
     return PolicyError{PolicyErrorKind::kMissingName, PathOf("budgets", entry)};
   }
   std::string where = "budget of " + budget.team;
-  if (of_class) where += " " + budget.job_class;
+  if (is_class_budget) where += " " + budget.job_class;
   if (HasBudgetFor(*policy, budget)) return PolicyError{PolicyErrorKind::kDuplicate, where};
-  const int first_limit = of_class ? 3 : 2;
+  const int first_limit = is_class_budget ? 3 : 2;
   BOOST_OUTCOME_TRYV(ForEachList(entry, first_limit, where, [&](const SExpression& limit) {
     return ReadBudgetEntry(limit, where, &budget);
   }));
@@ -165,7 +167,7 @@
   return network.canonical();
 }
 
-// One of the criteria of a drain. False: the entry is none.
+// Reads a machine criterion of a drain. Returns false if the entry is not a criterion.
 Result<bool, PolicyError> ReadCriterion(const SExpression& entry, const std::string& where,
                                         MachineSelector* machines) {
   const std::string name = entry.Name();
@@ -193,7 +195,7 @@
   BOOST_OUTCOME_TRY(is_criterion, ReadCriterion(entry, where, &drain->machines));
   if (is_criterion) return Success();
   if (entry.Name() == "deadline-s") {
-    BOOST_OUTCOME_TRY(deadline_s, ReadNumber(entry, where, 0, kMostSeconds));
+    BOOST_OUTCOME_TRY(deadline_s, ReadNumber(entry, where, 0, kMaxSeconds));
     drain->deadline_s = deadline_s;
     return Success();
   }
@@ -204,7 +206,7 @@
   return UnknownEntry(where, entry);
 }
 
-// A drain of all machines is asked for in so many words.
+// A drain without criteria is an error: draining all machines requires an explicit (everything).
 Check CheckSelection(const MachineSelector& machines, const std::string& where) {
   const bool has_criteria = !machines.names.empty() || !machines.type.empty() ||
                             !machines.zone.empty() || machines.network;
@@ -222,12 +224,12 @@
   if (entry.Name() != "drain") return UnknownEntry("drains", entry);
   DrainRequest drain;
   drain.name = entry.Atom(1);
-  if (drain.name.empty() || drain.name.size() > kLongestName) {
+  if (drain.name.empty() || drain.name.size() > kMaxNameBytes) {
     return PolicyError{PolicyErrorKind::kInvalidDrainName, "drain"};
   }
   const std::string where = "drain " + drain.name;
   if (policy->Find(drain.name) != nullptr) return PolicyError{PolicyErrorKind::kDuplicate, where};
-  if (policy->drains.size() >= kMostDrains) {
+  if (policy->drains.size() >= kMaxDrains) {
     return PolicyError{PolicyErrorKind::kTooManyDrains, "drains"};
   }
   BOOST_OUTCOME_TRYV(ForEachList(entry, 2, where, [&](const SExpression& part) {
@@ -238,22 +240,22 @@
   return Success();
 }
 
-// A limit of evictions: a number of seconds, or a count.
+// A field of EvictionLimits: either a number of seconds or a count.
 struct LimitField {
   const char* name;
-  double EvictionLimits::*seconds;  // null: a count
-  uint32_t EvictionLimits::*count;  // null: seconds
-  double least;
-  double most;
+  double EvictionLimits::*seconds;  // null for a count
+  uint32_t EvictionLimits::*count;  // null for a duration
+  double min;
+  double max;
 };
 
 constexpr LimitField kLimitFields[] = {
     {"settle-s", &EvictionLimits::settle_s, nullptr, 0, 3600},
-    {"replace-within-s", &EvictionLimits::replace_within_s, nullptr, 1, 86400},
+    {"replace-within-s", &EvictionLimits::replacement_timeout_s, nullptr, 1, 86400},
     {"image-wait-s", &EvictionLimits::image_wait_s, nullptr, 0, 86400},
-    {"window-s", &EvictionLimits::window_s, nullptr, 1, 86400},
+    {"window-s", &EvictionLimits::stop_window_s, nullptr, 1, 86400},
     {"at-once", nullptr, &EvictionLimits::max_evictions, 1, 1000},
-    {"replacement-tries", nullptr, &EvictionLimits::replacement_tries, 1, 100}};
+    {"replacement-tries", nullptr, &EvictionLimits::max_replacement_attempts, 1, 100}};
 
 Check ReadLimit(const SExpression& entry, EvictionLimits* limits) {
   const std::string where = "steps";
@@ -261,10 +263,10 @@
   for (const LimitField& field : kLimitFields) {
     if (name != field.name) continue;
     if (field.seconds != nullptr) {
-      BOOST_OUTCOME_TRY(seconds, ReadNumber(entry, where, field.least, field.most));
+      BOOST_OUTCOME_TRY(seconds, ReadNumber(entry, where, field.min, field.max));
       limits->*(field.seconds) = seconds;
     } else {
-      BOOST_OUTCOME_TRY(count, ReadWhole(entry, where, field.least, field.most));
+      BOOST_OUTCOME_TRY(count, ReadInteger(entry, where, field.min, field.max));
       limits->*(field.count) = static_cast<uint32_t>(count);
     }
     return Success();
@@ -272,11 +274,11 @@
   return UnknownEntry(where, entry);
 }
 
-// Sets the revision, or adds what the section has.
+// Reads one section: sets the revision or the eviction limits, or adds budgets or drains.
 Check ReadSection(const SExpression& section, DisruptionPolicy* policy) {
   const std::string name = section.Name();
   if (name == "revision") {
-    BOOST_OUTCOME_TRY(revision, ReadWhole(section, "disruption", 1, kMostRevision));
+    BOOST_OUTCOME_TRY(revision, ReadInteger(section, "disruption", 1, kMaxRevision));
     policy->revision = static_cast<uint64_t>(revision);
     return Success();
   }
@@ -290,13 +292,13 @@
   }
   if (name == "steps") {
     return ForEachList(section, 1, name, [policy](const SExpression& entry) {
-      return ReadLimit(entry, &policy->times);
+      return ReadLimit(entry, &policy->eviction_limits);
     });
   }
   return UnknownEntry("disruption", section);
 }
 
-// What is wrong, without the place.
+// Describes the error without its location.
 std::string DescribeKind(const PolicyError& error) {
   switch (error.kind) {
     case PolicyErrorKind::kNotSExpression:
@@ -311,28 +313,28 @@
       return "a value is missing";
     case PolicyErrorKind::kOutOfRange:
       return "not a number from " + error.detail;
-    case PolicyErrorKind::kNotWhole:
+    case PolicyErrorKind::kNotInteger:
       return "not a whole number";
     case PolicyErrorKind::kInvalidLimit:
-      return "neither a number of replicas nor a share up to 100%: '" + error.detail + "'";
-    case PolicyErrorKind::kNotWholeReplicas:
+      return "neither a number of replicas nor a percentage up to 100%: '" + error.detail + "'";
+    case PolicyErrorKind::kFractionalReplicas:
       return "not a whole number of replicas";
     case PolicyErrorKind::kMisplacedAtLeastOne:
-      return "only at-least-one may follow, and only a share";
+      return "only at-least-one may follow the limit, and only a share in percent";
     case PolicyErrorKind::kMissingName:
       return "a name is missing";
     case PolicyErrorKind::kInvalidDrainName:
-      return "a name of 1 to " + std::to_string(kLongestName) + " bytes is missing";
+      return "a name of 1 to " + std::to_string(kMaxNameBytes) + " bytes is required";
     case PolicyErrorKind::kDuplicate:
       return "given twice";
     case PolicyErrorKind::kTooManyDrains:
-      return "more than " + std::to_string(kMostDrains);
+      return "more drains than the maximum of " + std::to_string(kMaxDrains);
     case PolicyErrorKind::kNotNetwork:
       return "not an IPv4 network like 10.1.4.0/24: '" + error.detail + "'";
     case PolicyErrorKind::kNoSelection:
-      return "names no machine, type, zone or network; all machines: (everything)";
+      return "names no machine, type, zone or network; use (everything) to drain all machines";
     case PolicyErrorKind::kConflictingSelection:
-      return "(everything) goes with no other selection";
+      return "(everything) allows no other selection";
     case PolicyErrorKind::kMissingRevision:
       return "a revision is missing";
     case PolicyErrorKind::kUnknownTeam:
@@ -342,25 +344,26 @@
     case PolicyErrorKind::kUnreadableFile:
       return "can't be read";
     case PolicyErrorKind::kTooLarge:
-      return "takes " + std::to_string(error.bytes) +
-             " bytes, but a value of the state service holds " + std::to_string(error.max_bytes);
+      return "the encoded policy takes " + std::to_string(error.bytes) +
+             " bytes; a value of the state service holds at most " +
+             std::to_string(error.max_bytes);
   }
   return "";
 }
 
 }  // namespace
 
-uint64_t DownLimit::Of(uint64_t replicas) const {
+uint64_t DownLimit::MaxDown(uint64_t replicas) const {
   if (unit == Unit::kReplicas) return static_cast<uint64_t>(amount);
-  // A share of a whole number may lie just below it by rounding: 0.29 of 100.
+  // The product may lie just below a whole number by floating-point rounding: 0.29 * 100.
   constexpr double kRounding = 1e-9;
-  const auto most =
+  const auto max =
       static_cast<uint64_t>(std::floor(amount * static_cast<double>(replicas) + kRounding));
-  return most == 0 && at_least_one ? 1 : most;
+  return max == 0 && at_least_one ? 1 : max;
 }
 
-bool MachineSelector::MayMatch(const std::string& machine_type,
-                               const std::string& machine_zone) const {
+bool MachineSelector::CoversPool(const std::string& machine_type,
+                                 const std::string& machine_zone) const {
   if (!names.empty() || network || everything) return false;
   return (type.empty() || type == machine_type) && (zone.empty() || zone == machine_zone);
 }
@@ -402,7 +405,7 @@
   BOOST_OUTCOME_TRYV(ForEachList(root.value(), 1, "disruption", [&](const SExpression& section) {
     return ReadSection(section, &policy);
   }));
-  // One that was read is 1 or more.
+  // A revision in the file is at least 1, so 0 means that there is none.
   if (policy.revision == 0) return PolicyError{PolicyErrorKind::kMissingRevision, "disruption"};
   return policy;
 }
--- a/src/drain/policy.h
+++ b/src/drain/policy.h
@@ -1,8 +1,8 @@
-// What operators want drained, and how much may be down meanwhile: the typed form of the
-// disruption file.
+// The disruption policy: which machines operators drain, and how many replicas and array tasks may
+// be disrupted meanwhile. It is parsed from the disruption file.
 //
-// A policy that was read is consistent in itself; CheckPolicy tells whether it goes with the
-// platform's settings. It is shared and never changed once it is in force.
+// ReadPolicy returns only policies that are consistent in themselves; CheckPolicy validates them
+// against the platform's settings. A policy in force is shared and immutable.
 #pragma once
 
 #include <boost/asio/ip/network_v4.hpp>
@@ -17,28 +17,29 @@
 
 namespace deckhall {
 
-// How many replicas may be down at the same time.
+// How many replicas may be unavailable at the same time.
 struct DownLimit {
   enum class Unit { kReplicas, kShare };
   Unit unit = Unit::kReplicas;
-  double amount = 1;          // replicas, or a share from 0 to 1
-  bool at_least_one = false;  // a share that rounds down to nothing still allows one
+  double amount = 1;          // number of replicas, or a share from 0 to 1
+  bool at_least_one = false;  // a share that rounds down to 0 allows 1 replica
 
-  // The limit for a team that has so many replicas.
-  uint64_t Of(uint64_t replicas) const;
+  // Returns the limit for a team with this number of replicas.
+  uint64_t MaxDown(uint64_t replicas) const;
 };
 
-// Limits for a team, or for one class of its jobs. Several that apply hold together.
+// Limits for a team, or for one class of its jobs. A job must satisfy every budget that applies to
+// it.
 struct DisruptionBudget {
   std::string team;
-  std::string job_class;  // empty: all of the team's
-  std::optional<DownLimit> down;
-  // Tasks of arrays that may be lost or stopped within EvictionLimits::window_s.
-  std::optional<uint32_t> stopped;
+  std::string job_class;  // all classes of the team if empty
+  std::optional<DownLimit> down_limit;
+  // Array tasks that may be lost or stopped within EvictionLimits::stop_window_s.
+  std::optional<uint32_t> max_stopped_tasks;
 };
 
-// Which machines a drain is about. All criteria that are given must hold; names are one of
-// them, and match any of the listed ones.
+// Selects the machines of a drain. A machine must satisfy all given criteria; `names` is satisfied
+// by any of the listed names.
 struct MachineSelector {
   std::vector<std::string> names;
   std::string type;
@@ -46,8 +47,9 @@
   std::optional<boost::asio::ip::network_v4> network;
   bool everything = false;
 
-  // Whether the drain is about all machines of that type and zone, those to come included.
-  bool MayMatch(const std::string& machine_type, const std::string& machine_zone) const;
+  // Whether the criteria are only a type, a zone or both, and cover this type and zone: then every
+  // present and future machine of that type and zone matches.
+  bool CoversPool(const std::string& machine_type, const std::string& machine_zone) const;
   bool Matches(const std::string& name, const std::string& machine_type,
                const std::string& machine_zone, const std::string& endpoint) const;
 };
@@ -55,74 +57,76 @@
 struct DrainRequest {
   std::string name;
   MachineSelector machines;
-  // Counted from when the drain was first taken up; none: arrays end by themselves.
+  // Counted from the start of the drain; array tasks are never stopped if unset.
   std::optional<double> deadline_s;
   bool paused = false;
 };
 
-// Times and bounds of steps.
+// Time limits and bounds of evictions.
 struct EvictionLimits {
-  double settle_s = 10;            // a replacement has run for so long before it counts
-  double replace_within_s = 120;   // a step that takes longer is tried elsewhere
-  double image_wait_s = 20;        // after it, a place without the image will do
-  double window_s = 300;           // over which stopped tasks of arrays are counted
-  uint32_t max_evictions = 64;     // in flight, over all drains
-  uint32_t replacement_tries = 3;  // after them a step is left to the ordinary placement
+  double settle_s = 10;  // a replica counts as available once it has run for this long
+  // A replacement that is not available by then is tried on another machine.
+  double replacement_timeout_s = 120;
+  double image_wait_s = 20;     // after it, a machine that has to fetch the image is accepted
+  double stop_window_s = 300;   // period over which stopped array tasks are counted
+  uint32_t max_evictions = 64;  // in flight, over all drains
+  // Time-outs after which the eviction is given up and regular placement takes over.
+  uint32_t max_replacement_attempts = 3;
 };
 
 struct DisruptionPolicy {
   uint64_t revision = 0;
-  DownLimit default_down;  // for teams without a budget of their own
+  DownLimit default_down_limit;  // for teams without a budget of their own
   std::vector<DisruptionBudget> budgets;
   std::vector<DrainRequest> drains;
-  EvictionLimits times;
-  std::string text;  // as it was read
+  EvictionLimits eviction_limits;
+  std::string text;  // of the disruption file, unmodified
 
   const DrainRequest* Find(const std::string& drain) const;
 };
 
 enum class PolicyErrorKind {
   kNotSExpression,
-  kWrongRoot,  // another file, perhaps
+  kWrongRoot,  // probably another kind of file
   kNotList,
   kUnknownEntry,
   kMissingValue,
-  kOutOfRange,  // a number
-  kNotWhole,
-  kInvalidLimit,  // of replicas that are down
-  kNotWholeReplicas,
+  kOutOfRange,  // not a number, or not in its range
+  kNotInteger,
+  kInvalidLimit,  // not a valid DownLimit
+  kFractionalReplicas,
   kMisplacedAtLeastOne,
   kMissingName,
   kInvalidDrainName,
   kDuplicate,
   kTooManyDrains,
   kNotNetwork,
-  kNoSelection,           // a drain names no machines
-  kConflictingSelection,  // a drain names all machines and some
+  kNoSelection,           // a drain has no criteria
+  kConflictingSelection,  // (everything) together with other criteria
   kMissingRevision,
   kUnknownTeam,
   kUnknownZone,
   kUnreadableFile,
-  kTooLarge,  // for a value of the state service
+  kTooLarge,  // the encoded policy exceeds the value limit of the state service
 };
 
-// Why a policy can't be used.
+// Why a policy was rejected.
 struct PolicyError {
   PolicyErrorKind kind;
-  std::string where = {};        // the entry of the file; empty: the whole of it
-  std::string detail = {};       // the unusable part
+  std::string where = {};        // path of the entry; the whole file if empty
+  std::string detail = {};       // the invalid text or name, or the allowed range
   SExpressionError syntax = {};  // of kNotSExpression
-  size_t bytes = 0;              // of kTooLarge: the stored form
-  size_t max_bytes = 0;          // of kTooLarge
+  size_t bytes = 0;              // of kTooLarge: size of the encoded policy
+  size_t max_bytes = 0;          // of kTooLarge: the limit
 };
 
-// The error in one line, for operators.
+// Returns a one-line error message for operators.
 std::string DescribeError(const PolicyError& error);
 
-// Reads the text of the disruption file. A policy that was read has a revision above 0.
+// Parses the text of the disruption file. The revision of the result is at least 1.
 Result<DisruptionPolicy, PolicyError> ReadPolicy(const std::string& text);
 
-// Checks what only the platform's settings tell: teams and zones.
+// Checks that the teams and zones of the policy exist in the platform's settings.
 Result<void, PolicyError> CheckPolicy(const DisruptionPolicy& policy, const Settings& settings);
 
 }  // namespace deckhall
--- a/src/drain/policy_replicator.cc
+++ b/src/drain/policy_replicator.cc
@@ -10,10 +10,10 @@
 namespace deckhall {
 namespace {
 
-constexpr double kReadEvery = 5;  // seconds
-constexpr double kRetryAfter = 1;
-// Of a value, so that its size may be counted in another way than ours.
-constexpr double kValueShare = 0.85;
+constexpr double kReadIntervalSeconds = 5;
+constexpr double kRetryDelaySeconds = 1;
+// Share of the value limit that a policy may use: the state service may count sizes differently.
+constexpr double kUsableValueShare = 0.85;
 
 Result<DisruptionPolicy, PolicyError> ReadAndCheckPolicy(const std::string& text,
                                                          const Settings& settings) {
@@ -36,14 +36,14 @@
 }
 
 size_t MaxPolicyBytes(const Settings& settings) {
-  return static_cast<size_t>(settings.effective_state_limits.value_kb * 1024 * kValueShare);
+  return static_cast<size_t>(settings.effective_state_limits.value_kb * 1024 * kUsableValueShare);
 }
 
-void PolicyReplicator::Offer(std::shared_ptr<const DisruptionPolicy> local) {
+void PolicyReplicator::SetLocalPolicy(std::shared_ptr<const DisruptionPolicy> local) {
   local_ = std::move(local);
-  // A newer one counts from now on; until it is stored nothing voluntary happens.
+  // The new policy must be confirmed first: until then no voluntary disruption is allowed.
   confirmed_at_ = -1;
-  ReadSoon();
+  ScheduleRead();
 }
 
 bool PolicyReplicator::IsConfirmed(double since) const {
@@ -58,18 +58,19 @@
 
 void PolicyReplicator::Read() {
   call_in_flight_ = true;
-  next_read_at_ = clock_->Now() + kReadEvery;
-  key_value_store_->Get(kKey, [this, asked_at = clock_->Now()](const KeyValueResponse& response) {
-    call_in_flight_ = false;
-    if (response.status != KeyValueStatus::kOk) {
-      next_read_at_ = clock_->Now() + kRetryAfter;
-      return;
-    }
-    HandleStoredPolicy(response, asked_at);
-  });
+  next_read_at_ = clock_->Now() + kReadIntervalSeconds;
+  key_value_store_->Get(kKey,
+                        [this, requested_at = clock_->Now()](const KeyValueResponse& response) {
+                          call_in_flight_ = false;
+                          if (response.status != KeyValueStatus::kOk) {
+                            next_read_at_ = clock_->Now() + kRetryDelaySeconds;
+                            return;
+                          }
+                          HandleStoredPolicy(response, requested_at);
+                        });
 }
 
-void PolicyReplicator::HandleStoredPolicy(const KeyValueResponse& response, double asked_at) {
+void PolicyReplicator::HandleStoredPolicy(const KeyValueResponse& response, double requested_at) {
   if (!response.found) {
     Write(0);
     return;
@@ -81,7 +82,7 @@
   const bool readable = ParseJson(row.value, &doc) && JsonU64(doc, "revision", &revision) &&
                         JsonString(doc, "text", &text);
   if (!readable) {
-    LogOnce("the stored disruption policy is unreadable; the file's takes its place");
+    LogOnce("stored disruption policy is malformed; replacing it with the local one");
     Write(row.version);
     return;
   }
@@ -91,12 +92,12 @@
   }
   if (revision == local_->revision && text != local_->text) {
     LogOnce("revision " + std::to_string(revision) +
-            " of the disruption file differs from the one in force; raise its revision");
+            " of the disruption file differs from the stored policy; raise its revision");
   }
   if (in_force_ == nullptr || in_force_->text != text) {
     if (!Adopt(text)) return;
   }
-  confirmed_at_ = asked_at;
+  confirmed_at_ = requested_at;
 }
 
 bool PolicyReplicator::Adopt(const std::string& text) {
@@ -105,7 +106,7 @@
   } else {
     auto policy = ReadAndCheckPolicy(text, *settings_);
     if (!policy.has_value()) {
-      LogOnce("the stored disruption policy can't be used here: " + DescribeError(policy.error()));
+      LogOnce("stored disruption policy rejected: " + DescribeError(policy.error()));
       return false;
     }
     in_force_ = std::make_shared<const DisruptionPolicy>(std::move(policy.value()));
@@ -123,18 +124,18 @@
   key_value_store_->Commit(transaction, [this](const KeyValueResponse& response) {
     call_in_flight_ = false;
     if (response.status == KeyValueStatus::kInvalid) {
-      LogOnce("the state service rejects the disruption policy");
+      LogOnce("state service rejected the disruption policy as invalid");
       return;
     }
-    // Written or overtaken: what is stored now is read again.
-    next_read_at_ = response.status == KeyValueStatus::kOk ? 0 : clock_->Now() + kRetryAfter;
+    // The stored policy is read again, whether the write succeeded or conflicted with another one.
+    next_read_at_ = response.status == KeyValueStatus::kOk ? 0 : clock_->Now() + kRetryDelaySeconds;
   });
 }
 
-void PolicyReplicator::LogOnce(const std::string& what) {
-  if (what == complained_) return;
-  complained_ = what;
-  spdlog::error("{}", what);
+void PolicyReplicator::LogOnce(const std::string& message) {
+  if (message == last_logged_error_) return;
+  last_logged_error_ = message;
+  spdlog::error("{}", message);
 }
 
 }  // namespace deckhall
--- a/src/drain/policy_replicator.h
+++ b/src/drain/policy_replicator.h
@@ -1,6 +1,6 @@
-// Makes one disruption policy count for all controllers: the one with the highest revision that
-// any of them was given. It is kept in the state service under a key of its own, which versions
-// that do not know it leave alone.
+// Agrees on one disruption policy among all controllers: the one with the highest revision of their
+// files. It is stored in the state service under a key of its own, which versions that do not know
+// it ignore.
 #pragma once
 
 #include <cstdint>
@@ -20,41 +20,41 @@
   PolicyReplicator(KeyValueStore* state, const Clock* clock, const Settings* settings)
       : key_value_store_(state), clock_(clock), settings_(settings) {}
 
-  // The policy of this controller's own file. Without one nothing is read or written.
-  void Offer(std::shared_ptr<const DisruptionPolicy> local);
+  // Sets the policy of this controller's own file. Without one, nothing is read or written.
+  void SetLocalPolicy(std::shared_ptr<const DisruptionPolicy> local);
   void Tick();
-  // Reads the state service at the next tick.
-  void ReadSoon() { next_read_at_ = 0; }
+  // Makes the next tick read the stored policy.
+  void ScheduleRead() { next_read_at_ = 0; }
 
-  // Null until the state service was read.
+  // Null until a policy was read from the state service.
   const std::shared_ptr<const DisruptionPolicy>& in_force() const { return in_force_; }
-  // Whether the state service named it in answer to a question sent at `since` or later, and
-  // not long ago: a budget that is lowered holds everywhere within kFreshFor.
+  // Whether the state service returned the policy in force to a read sent at `since` or later, less
+  // than kConfirmationSeconds ago: a lowered budget takes effect everywhere within that time.
   bool IsConfirmed(double since) const;
-  static constexpr double kConfirmationSeconds = 8;  // seconds
+  static constexpr double kConfirmationSeconds = 8;
 
  private:
   void Read();
-  void HandleStoredPolicy(const KeyValueResponse& response, double asked_at);
+  void HandleStoredPolicy(const KeyValueResponse& response, double requested_at);
   void Write(uint64_t version);
-  // Takes over what another controller stored. False: it is no policy.
+  // Puts the stored policy in force. Returns false if it is invalid.
   bool Adopt(const std::string& value);
-  void LogOnce(const std::string& what);
+  void LogOnce(const std::string& message);
 
   KeyValueStore* key_value_store_;
   const Clock* clock_;
   const Settings* settings_;
   std::shared_ptr<const DisruptionPolicy> local_;
   std::shared_ptr<const DisruptionPolicy> in_force_;
-  double confirmed_at_ = -1;  // when the question was sent whose answer last named it
+  double confirmed_at_ = -1;  // when the last read that returned it was sent
   double next_read_at_ = 0;
   bool call_in_flight_ = false;
-  std::string complained_;  // last complaint, said once
+  std::string last_logged_error_;  // not repeated by LogOnce()
 };
 
-// The stored form; `deckhall check` tells whether it fits a value of the state service.
+// Returns the stored form of the policy; `deckhall check` compares its size with MaxPolicyBytes.
 std::string EncodePolicy(const DisruptionPolicy& policy);
-// The largest stored form that the state service surely takes, in bytes.
+// Size in bytes up to which the state service accepts a stored policy.
 size_t MaxPolicyBytes(const Settings& settings);
 
 }  // namespace deckhall
--- a/src/drain/replacement_finder.h
+++ b/src/drain/replacement_finder.h
@@ -1,5 +1,5 @@
-// Finds a place for a replica that is to be moved. A search looks at a bounded number of
-// machines, whatever the size of the fleet; the next one goes on behind them.
+// Finds a machine for the replacement of a replica that is to be evicted. A search examines a
+// bounded number of machines, whatever the size of the fleet; the next search continues after them.
 #pragma once
 
 #include <roaring/roaring.hh>
@@ -18,26 +18,26 @@
   struct Result {
     MachineIndex machine = kNoIndex;
     bool has_image = false;
-    BlockedState blocked;  // why there is none
+    BlockedState blocked;  // why no machine was found
   };
-  // A place for one replica of the job that leaves `from`. `fetch`: where its image has to be
-  // fetched will do.
-  Result Find(JobIndex job_index, MachineIndex from, bool fetch);
-  // Whether the job may have one more task there now, beside those that it has.
-  bool StillFits(JobIndex job_index, MachineIndex place);
+  // Finds a machine for the replica of the job that leaves `source_machine`. `allow_fetch`:
+  // accept a machine that has to fetch the image.
+  Result Find(JobIndex job_index, MachineIndex source_machine, bool allow_fetch);
+  // Whether the machine can run one more task of the job now, beside the job's present tasks.
+  bool StillFits(JobIndex job_index, MachineIndex machine_index);
   uint64_t examined() const { return examined_; }
 
  private:
   void RefreshCandidates();
-  // Some machines that may have room, another part of the fleet each time.
+  // Returns machines that may have free capacity, from another part of the fleet at each call.
   std::vector<uint32_t> NextCandidates();
 
   JobStore* job_store_;
   FreeCapacity* free_capacity_;
   const Clock* clock_;
-  Roaring candidates_;  // machines that had some room a moment ago
+  Roaring candidates_;  // machines with free capacity at the last refresh
   double candidates_refreshed_at_ = -1;
-  uint32_t next_candidate_ = 0;  // the next search begins with this machine
+  uint32_t next_candidate_ = 0;  // the next search starts at this machine
   uint64_t examined_ = 0;
 };
 
--- a/src/leader/demand_collector.cc
+++ b/src/leader/demand_collector.cc
@@ -99,7 +99,7 @@
 
 // A replica that a drain evicts next needs its new place before it is stopped.
 void DemandCollector::AddEvictions(Demands* demands) const {
-  for (JobIndex job_index : eviction_controller_->jobs_needing_room()) {
+  for (JobIndex job_index : eviction_controller_->jobs_awaiting_capacity()) {
     AddDemand(demands, 0, RequestFor((*job_store_)[job_index]), 1);
   }
 }
--- a/tests/drain_mix_test.cc
+++ b/tests/drain_mix_test.cc
@@ -189,7 +189,7 @@
         c_.node(leader)->leader()->eviction_controller().Progress();
     if (progress.size() != drains_.size()) bad += "not all drains are known\n";
     for (const DrainProgress& p : progress) {
-      if (p.state != DrainState::kDone && p.why.empty()) {
+      if (p.state != DrainState::kDone && p.blocked_reason.empty()) {
         bad += p.drain + " says not why, " + std::to_string(p.machines_left) + " left\n";
       }
     }
--- a/tests/drain_policy_test.cc
+++ b/tests/drain_policy_test.cc
@@ -60,19 +60,19 @@
   const DisruptionPolicy p = PolicyOf(kGood);
   EXPECT_EQ(ReasonOfCheck(p), "");
   EXPECT_EQ(p.revision, 7U);
-  EXPECT_EQ(p.default_down.Of(100), 2U);
+  EXPECT_EQ(p.default_down_limit.MaxDown(100), 2U);
   ASSERT_EQ(p.budgets.size(), 2U);
-  EXPECT_EQ(p.budgets[0].stopped, 5U);
-  EXPECT_EQ(p.budgets[0].down->Of(9), 1U);
-  EXPECT_EQ(p.budgets[0].down->Of(39), 3U);
+  EXPECT_EQ(p.budgets[0].max_stopped_tasks, 5U);
+  EXPECT_EQ(p.budgets[0].down_limit->MaxDown(9), 1U);
+  EXPECT_EQ(p.budgets[0].down_limit->MaxDown(39), 3U);
   EXPECT_EQ(p.budgets[1].job_class, "live");
-  EXPECT_EQ(p.budgets[1].down->Of(3), 0U);
+  EXPECT_EQ(p.budgets[1].down_limit->MaxDown(3), 0U);
   ASSERT_EQ(p.drains.size(), 3U);
   EXPECT_EQ(p.drains[0].deadline_s, 600);
   EXPECT_TRUE(p.drains[2].paused);
-  EXPECT_EQ(p.times.settle_s, 5);
-  EXPECT_EQ(p.times.max_evictions, 9U);
-  EXPECT_EQ(p.times.replacement_tries, 2U);
+  EXPECT_EQ(p.eviction_limits.settle_s, 5);
+  EXPECT_EQ(p.eviction_limits.max_evictions, 9U);
+  EXPECT_EQ(p.eviction_limits.max_replacement_attempts, 2U);
 }
 
 TEST(DrainPolicy, TheSampleIsOne) {
@@ -86,8 +86,8 @@
   DownLimit limit;
   limit.unit = DownLimit::Unit::kShare;
   limit.amount = 0.29;
-  EXPECT_EQ(limit.Of(100), 29U);
-  EXPECT_EQ(limit.Of(3), 0U);
+  EXPECT_EQ(limit.MaxDown(100), 29U);
+  EXPECT_EQ(limit.MaxDown(3), 0U);
 }
 
 TEST(DrainPolicy, SelectsByNameTypeZoneAndNetworkTogether) {
@@ -95,13 +95,13 @@
   const MachineSelector& zone = p.Find("west")->machines;
   EXPECT_TRUE(zone.Matches("m-5", "box", "west", ""));
   EXPECT_FALSE(zone.Matches("m-5", "box", "east", ""));
-  EXPECT_TRUE(zone.MayMatch("any", "west"));
+  EXPECT_TRUE(zone.CoversPool("any", "west"));
   const MachineSelector& rack = p.Find("rack")->machines;
   EXPECT_TRUE(rack.Matches("m-5", "box", "west", "10.1.4.200:9000"));
   EXPECT_FALSE(rack.Matches("m-5", "box", "west", "10.1.5.1:9000"));
   EXPECT_FALSE(rack.Matches("m-5", "other", "west", "10.1.4.200:9000"));
   EXPECT_FALSE(rack.Matches("m-5", "box", "west", "nonsense"));
-  EXPECT_FALSE(rack.MayMatch("box", "west"));
+  EXPECT_FALSE(rack.CoversPool("box", "west"));
   const MachineSelector& two = p.Find("two")->machines;
   EXPECT_TRUE(two.Matches("m-2", "", "", ""));
   EXPECT_FALSE(two.Matches("m-3", "", "", ""));
@@ -213,16 +213,16 @@
 };
 
 TEST_F(ReplicatorTest, TheHighestRevisionCountsForAllControllers) {
-  one_.Offer(Revision(3, "(budgets (team \"blue\" (down \"3\")))"));
-  two_.Offer(Revision(5, "(budgets (team \"blue\" (down \"5\")))"));
+  one_.SetLocalPolicy(Revision(3, "(budgets (team \"blue\" (down \"3\")))"));
+  two_.SetLocalPolicy(Revision(5, "(budgets (team \"blue\" (down \"5\")))"));
   Turn();
   Turn();
   ASSERT_NE(one_.in_force(), nullptr);
   EXPECT_EQ(one_.in_force()->revision, 5U);
   EXPECT_EQ(two_.in_force()->revision, 5U);
-  EXPECT_EQ(one_.in_force()->budgets[0].down->Of(100), 5U);
+  EXPECT_EQ(one_.in_force()->budgets[0].down_limit->MaxDown(100), 5U);
   // The older file does not come back when its controller starts anew.
-  one_.Offer(Revision(3, ""));
+  one_.SetLocalPolicy(Revision(3, ""));
   Turn();
   EXPECT_EQ(two_.in_force()->revision, 5U);
   EXPECT_TRUE(one_.IsConfirmed(clock_.now - 6));
@@ -230,7 +230,7 @@
 
 // A budget may have been lowered elsewhere meanwhile.
 TEST_F(ReplicatorTest, APolicyThatCouldNotBeReadForAWhileIsNotConfirmed) {
-  one_.Offer(Revision(3, ""));
+  one_.SetLocalPolicy(Revision(3, ""));
   Turn();
   EXPECT_TRUE(one_.IsConfirmed(0));
   state_.refuse = true;
@@ -241,22 +241,22 @@
   Turn();
   EXPECT_TRUE(one_.IsConfirmed(0));
   // A new file: nothing before it is stored.
-  one_.Offer(Revision(4, ""));
+  one_.SetLocalPolicy(Revision(4, ""));
   EXPECT_FALSE(one_.IsConfirmed(0));
 }
 
 TEST_F(ReplicatorTest, OfTwoFilesWithOneRevisionTheStoredOneCounts) {
-  one_.Offer(Revision(3, "(budgets (team \"blue\" (down \"3\")))"));
+  one_.SetLocalPolicy(Revision(3, "(budgets (team \"blue\" (down \"3\")))"));
   Turn();
-  two_.Offer(Revision(3, "(budgets (team \"blue\" (down \"9\")))"));
+  two_.SetLocalPolicy(Revision(3, "(budgets (team \"blue\" (down \"9\")))"));
   Turn();
-  EXPECT_EQ(two_.in_force()->budgets[0].down->Of(100), 3U);
-  EXPECT_EQ(one_.in_force()->budgets[0].down->Of(100), 3U);
+  EXPECT_EQ(two_.in_force()->budgets[0].down_limit->MaxDown(100), 3U);
+  EXPECT_EQ(one_.in_force()->budgets[0].down_limit->MaxDown(100), 3U);
 }
 
 TEST_F(ReplicatorTest, WhatIsUnreadableIsReplacedAndWhatIsUnusableIsKeptOut) {
   state_.keys[PolicyReplicator::kKey] = {"\"nonsense\"", 50, 0};
-  one_.Offer(Revision(3, ""));
+  one_.SetLocalPolicy(Revision(3, ""));
   Turn();
   ASSERT_NE(one_.in_force(), nullptr);
   EXPECT_EQ(one_.in_force()->revision, 3U);
@@ -277,7 +277,7 @@
 
 TEST_F(ReplicatorTest, AnOutageOrALostAnswerOnlyDelaysIt) {
   state_.refuse = true;
-  one_.Offer(Revision(3, ""));
+  one_.SetLocalPolicy(Revision(3, ""));
   Turn();
   EXPECT_EQ(one_.in_force(), nullptr);
   state_.refuse = false;
@@ -298,11 +298,11 @@
   p.replicas_moved = 5;
   p.replicas_moving = 6;
   p.tasks_stopped = 7;
-  p.steps_given_up = 8;
-  p.why = "paused";
+  p.evictions_given_up = 8;
+  p.blocked_reason = "paused";
   p.waiting_since_wall = 1200;
   EXPECT_EQ(DecodeProgress(EncodeProgress(p)), p);
-  EXPECT_LE(EncodeProgress(p).size(), kProgressBytes);
+  EXPECT_LE(EncodeProgress(p).size(), kMaxProgressBytes);
   EvictionRecord s{"west", "job-1", 2, "m-3", 4, 5.5};
   const auto step = DecodeEviction(EncodeEviction(s));
   ASSERT_TRUE(step.has_value());
@@ -317,11 +317,11 @@
 TEST(DrainRecord, ALongReasonDoesNotOutgrowItsRow) {
   DrainProgress p;
   p.drain = std::string(60, 'd');
-  p.why = std::string(5000, 'w');
+  p.blocked_reason = std::string(5000, 'w');
   p.machines_done = p.machines_left = p.replicas_moved = UINT64_MAX;
-  p.replicas_moving = p.tasks_stopped = p.steps_given_up = UINT64_MAX;
+  p.replicas_moving = p.tasks_stopped = p.evictions_given_up = UINT64_MAX;
   p.since_wall = p.waiting_since_wall = 1e10;
-  EXPECT_LE(EncodeProgress(p).size(), kProgressBytes);
+  EXPECT_LE(EncodeProgress(p).size(), kMaxProgressBytes);
 }
 
 TEST(DrainsCommand, ShowsProgressAndWhyADrainWaits) {
@@ -330,7 +330,7 @@
   p.since_wall = 1000;
   p.machines_done = 2;
   p.machines_left = 3;
-  p.why = "the budget allows no more down: blue, 1 of at most 1";
+  p.blocked_reason = "the budget allows no more down: blue, 1 of at most 1";
   p.waiting_since_wall = 1100;
   const EvictionRecord s{"west", "job-1", 2, "m-3", 4, 1130};
   DrainRecords records;
--- a/tests/drain_test.cc
+++ b/tests/drain_test.cc
@@ -247,7 +247,7 @@
       "(drains (drain \"one\" (machine \"m-1\")))");
   w.Watch(100);
   EXPECT_EQ(w.MostDown("red"), 1U);
-  EXPECT_EQ(w.Progress("one").steps_given_up, 1U);
+  EXPECT_EQ(w.Progress("one").evictions_given_up, 1U);
   EXPECT_NE(w.Why("one").find("does not become healthy"), std::string::npos) << w.Why("one");
   // It was tried on more than one machine.
   for (const char* name : {"m-2", "m-3"}) EXPECT_FALSE(w.At(name).started.empty()) << name;
--- a/tests/drain_world.h
+++ b/tests/drain_world.h
@@ -47,7 +47,7 @@
   size_t MostDown(const std::string& team) const;
   DrainProgress Progress(const std::string& drain) const;
   // Why the drain waits, in words.
-  std::string Why(const std::string& drain) const { return Progress(drain).why; }
+  std::string Why(const std::string& drain) const { return Progress(drain).blocked_reason; }
   size_t OnMachine(const std::string& machine) const;
   bool Returned(const std::string& machine) const;
   bool Runs(const std::string& task) const;
--- a/tests/golden_rows_test.cc
+++ b/tests/golden_rows_test.cc
@@ -496,8 +496,8 @@
   progress.replicas_moved = 3;
   progress.replicas_moving = 4;
   progress.tasks_stopped = 5;
-  progress.steps_given_up = 6;
-  progress.why = "waits for \"room\"";
+  progress.evictions_given_up = 6;
+  progress.blocked_reason = "waits for \"room\"";
   progress.waiting_since_wall = 500001100.5;
   return progress;
 }
@@ -571,7 +571,7 @@
   EXPECT_EQ(EncodePolicy(DisruptionPolicy()), R"({"revision":0,"text":""})");
   World w;
   PolicyReplicator replicator(&w.state, &w.clock, &w.settings);
-  replicator.Offer(PolicyOf(kPolicyText));
+  replicator.SetLocalPolicy(PolicyOf(kPolicyText));
   replicator.Tick();
   w.state.Run();
   EXPECT_EQ(w.state.keys["deckhall/disruption"].value, kStoredPolicy);
@@ -581,7 +581,7 @@
   World w;
   w.state.keys["deckhall/disruption"] = {kStoredPolicy, w.state.revision, 0};
   PolicyReplicator replicator(&w.state, &w.clock, &w.settings);
-  replicator.Offer(PolicyOf(R"((disruption (revision "1")))"));
+  replicator.SetLocalPolicy(PolicyOf(R"((disruption (revision "1")))"));
   replicator.Tick();
   w.state.Run();
   ASSERT_NE(replicator.in_force(), nullptr);
