--- a/src/leader/election.cc
+++ b/src/leader/election.cc
@@ -10,23 +10,25 @@
 
 constexpr double kMillisecondsPerSecond = 1000.0;
 
-// Pauses before the next step. They vary, so that controllers don't act in lockstep.
+// Delays before the next step. Each is multiplied by a random factor, so that controllers don't act
+// in lockstep.
 constexpr double kUnavailableRetrySeconds = 0.3;
 constexpr double kCampaignDelaySeconds = 0.03;
 constexpr double kConflictRetrySeconds = 0.02;
 constexpr double kIndeterminateRetrySeconds = 0.1;
 constexpr double kRevocationRetrySeconds = 0.02;
 constexpr double kLeadershipLossPauseSeconds = 0.1;
-constexpr double kResignedRereadSeconds = 0.3;  // during the pause after a resignation
-constexpr double kShortestPauseFactor = 0.7;
-constexpr double kLongestPauseFactor = 1.3;
+constexpr double kResignedRereadSeconds = 0.3;  // between reads while not allowed to campaign
+constexpr double kMinJitterFactor = 0.7;
+constexpr double kMaxJitterFactor = 1.3;
 
 constexpr int kWatchHoldMilliseconds = 10000;
-// A watch that returns sooner may do so again and again, which would use up the request budget.
+// A watch that returns sooner than this is repeated only after a delay: repeated early returns
+// would exhaust the request budget.
 constexpr double kShortWatchSeconds = 0.1;
 constexpr double kShortWatchRetrySeconds = 0.05;
 
-// A keep-alive that hangs must not hold back the next one.
+// Several may be in flight, so that one that hangs does not delay the next one.
 constexpr int kMaxKeepAlivesInFlight = 3;
 constexpr double kKeepAliveTimeoutFraction = 0.6;  // of the lease's time to live
 constexpr double kKeepAliveRetrySeconds = 0.15;
@@ -48,7 +50,7 @@
 }
 
 void Election::DelayNextStep(double delay_s) {
-  std::uniform_real_distribution<double> factor(kShortestPauseFactor, kLongestPauseFactor);
+  std::uniform_real_distribution<double> factor(kMinJitterFactor, kMaxJitterFactor);
   next_step_at_ = clock_->Now() + delay_s * factor(random_);
 }
 
@@ -78,7 +80,7 @@
   }
   if (call_in_flight_ || now < next_step_at_) return;
   if (stage_ == Stage::kGrantingLease && now < campaign_not_before_) {
-    // Another controller may have acquired the key during the pause.
+    // Another controller may have acquired the key since it was read.
     EnterStage(Stage::kReadingKey, kResignedRereadSeconds);
     return;
   }
@@ -104,7 +106,7 @@
 
 void Election::HandleAbsentKey(uint64_t revision) {
   leader_label_.clear();
-  // All former terms are over, and each was a revision up to this one.
+  // All earlier terms are over, and each of them was a revision up to this one.
   if (on_term_bound) on_term_bound(revision);
   EnterStage(Stage::kGrantingLease, kCampaignDelaySeconds);
 }
@@ -121,8 +123,8 @@
   leader_label_ = former_leader_label_ = key.label;
   leader_term_ = term;
   if (IsFromFormerProcess(key)) {
-    // That process has ended, or this one could not listen on its address: no need to wait until
-    // its lease expires.
+    // That process must have ended, since this one could not listen on its address otherwise. So
+    // there is no need to wait until its lease expires.
     spdlog::info("term={}: revoking the lease of this controller's former process", term);
     RevokeLease(key.lease_id);
     DelayNextStep(kRevocationRetrySeconds);
@@ -149,7 +151,7 @@
 }
 
 void Election::HandleWatchResponse(const KeyValueResponse& response, double watched_since) {
-  // Whatever the response says, the key itself shows who holds it now.
+  // Whatever the response says, the key is read again to find its present holder.
   stage_ = Stage::kReadingKey;
   const bool short_watch = clock_->Now() - watched_since < kShortWatchSeconds;
   if (response.status != KeyValueStatus::kOk) {
@@ -197,8 +199,8 @@
     BecomeLeader(response.number);
     return;
   }
-  // Another controller was first, or the outcome is unknown: the key shows it. If the transaction
-  // is applied late, the key disappears with its lease, which nobody keeps alive.
+  // Another controller was first, or the outcome is unknown; reading the key shows which. If the
+  // transaction is applied late, the key is removed with its lease, which nobody keeps alive.
   const bool conflict = response.status == KeyValueStatus::kConflict;
   EnterStage(Stage::kReadingKey, conflict ? kConflictRetrySeconds : kIndeterminateRetrySeconds);
 }
@@ -240,7 +242,7 @@
 }
 
 void Election::RevokeLease(uint64_t lease_id) {
-  // If that fails, the lease expires by itself.
+  // If the request fails, the lease expires by itself.
   key_value_store_->RevokeLease(lease_id, [](const KeyValueResponse&) {});
 }
 
--- a/src/leader/leadership_loss_reason.h
+++ b/src/leader/leadership_loss_reason.h
@@ -1,4 +1,4 @@
-// Why a controller stopped leading; for the log.
+// Reasons for which a controller stops leading; for the log.
 #pragma once
 
 namespace deckhall {
@@ -7,10 +7,10 @@
   kLeaseExpired,        // the state service no longer knows the lease
   kHigherTermFromPeer,  // a peer announced a higher term
   kFencedByHigherTerm,  // a write or a worker's fencing token showed the leader a higher term
-  kWorkersUnreachable,  // resigned: most workers can't be reached from this controller
+  kWorkersUnreachable,  // resigned, as most workers are unreachable from this node
 };
 
-// The words of the log.
+// The text for the log.
 constexpr const char* LeadershipLossReasonText(LeadershipLossReason reason) {
   switch (reason) {
     case LeadershipLossReason::kLeaseExpired:
