--- a/src/app/controller.cc
+++ b/src/app/controller.cc
@@ -41,7 +41,7 @@
 
 double StatusRequestsPerSecond(const Settings& settings, const Tuning& tuning) {
   const auto controllers = static_cast<double>(settings.siblings.size() + 1);
-  return MessagesPerSecond(settings, tuning) * kStatusRequestsPerMessage / controllers;
+  return WorkerCallsPerSecond(settings, tuning) * kStatusRequestsPerMessage / controllers;
 }
 
 Controller::Controller(const ControllerPorts& ports, Settings settings, Tuning tuning,
--- a/src/leader/command_dispatcher.cc
+++ b/src/leader/command_dispatcher.cc
@@ -22,7 +22,7 @@
 constexpr int kHttpConflict = 409;
 
 TokenBucket CommandBudget(const Settings& settings, const Tuning& tuning) {
-  const double rate = MessagesPerSecond(settings, tuning) * tuning.command_share;
+  const double rate = WorkerCallsPerSecond(settings, tuning) * tuning.command_share;
   return {rate, std::max(kMinCommandBurst, rate / kCommandBurstsPerSecond)};
 }
 
--- a/src/leader/failover_reconciler.cc
+++ b/src/leader/failover_reconciler.cc
@@ -9,7 +9,7 @@
 
 constexpr double kReleaseIntervalSeconds = 0.1;
 
-bool AreAlike(const Machine& left, const Machine& right) {
+bool AreEquivalentForPlacement(const Machine& left, const Machine& right) {
   return left.type == right.type && left.zone == right.zone && left.spot == right.spot;
 }
 
@@ -30,8 +30,9 @@
     const Machine& machine = (*fleet_)[machine_index];
     if (!machine.may_run_former_attempts || machine.reconciled) continue;
     const bool is_represented = std::any_of(
-        representatives.begin(), representatives.end(),
-        [this, &machine](MachineIndex other) { return AreAlike((*fleet_)[other], machine); });
+        representatives.begin(), representatives.end(), [this, &machine](MachineIndex other) {
+          return AreEquivalentForPlacement((*fleet_)[other], machine);
+        });
     if (!is_represented) representatives.push_back(machine_index);
   }
   return representatives;
--- a/src/leader/failover_reconciler.h
+++ b/src/leader/failover_reconciler.h
@@ -1,9 +1,9 @@
 // Reconciliation of tasks after a failover.
 //
-// A new leader knows from the records which tasks are not done, but not where a former leader
-// started them: they are unreconciled until seen on a machine. Guarantee: an unreconciled task is
-// released for placement only when no unreconciled machine is left that it could be on, so that it
-// never runs twice at a time. Owned by Leader.
+// A new leader knows from the records which tasks have not finished, but not on which machines a
+// former leader started them. Such a task is unreconciled until a machine reports it. Guarantee: an
+// unreconciled task is released for placement only when it can't be on any unreconciled machine, so
+// that it never runs twice at a time. Owned by Leader.
 #pragma once
 
 #include <vector>
@@ -16,15 +16,16 @@
  public:
   FailoverReconciler(JobStore* job_store, Fleet* fleet) : job_store_(job_store), fleet_(fleet) {}
 
-  // The records were loaded, or a machine was reconciled: tasks may have become free.
+  // Requests a check after the records were loaded or a machine was reconciled, since tasks may
+  // have become releasable.
   void RequestRelease() { release_requested_ = true; }
-  // Releases tasks if that was requested and the last time is long enough ago. `now` is steady
-  // time, in seconds.
+  // Releases tasks if a check was requested and the minimum interval since the last one has passed.
+  // `now` is steady time, in seconds.
   void ReleaseIfRequested(double now);
 
  private:
-  // One unreconciled machine of each combination of type, zone and kind: which tasks a machine
-  // may run depends on these alone.
+  // One unreconciled machine of each combination of type, zone and kind (spot or not). Which tasks
+  // a machine may run depends on these alone.
   std::vector<MachineIndex> UnreconciledRepresentatives() const;
   void ReleaseTasks(const std::vector<JobIndex>& jobs,
                     const std::vector<MachineIndex>& unreconciled);
--- a/src/leader/failure_detector.cc
+++ b/src/leader/failure_detector.cc
@@ -14,31 +14,33 @@
 constexpr double kProbeTimeoutSeconds = 0.7;
 constexpr double kMinProbeBurst = 20;
 constexpr double kProbeBurstSeconds = 2;
-// Backoff of probes to a machine that does not respond; doubles up to the largest.
+// Backoff of probes to a machine that does not respond; doubles up to the maximum.
 constexpr double kProbeBackoffSeconds = 0.1;
 constexpr int kMaxProbeBackoffDoublings = 6;
 constexpr double kMaxProbeBackoffSeconds = 4;
-// For some seconds after a machine died, the others are probed so much more often.
+// For some seconds after a machine was declared dead, the others are probed more often by this
+// factor.
 constexpr double kFasterProbeFactor = 3;
 constexpr double kFasterProbeSeconds = 3;
-// Of the machines that are up; more failures at once are rather the network's or this node's.
-constexpr double kQuickDeathShare = 0.08;
-constexpr double kOneWayShare = 0.02;
+// Shares of the machines that are up. More failures at once are probably caused by the network or
+// by this node.
+constexpr double kMaxIsolatedFailureShare = 0.08;
+constexpr double kMaxOneWayShare = 0.02;
 constexpr size_t kMinToleratedMachines = 2;
 constexpr int kMinFailedProbes = 2;
 constexpr int kMinOneWayProbes = 3;
-// A partitioned machine is returned after so many leases: its tasks end after the first, but the
-// machine may soon be reachable again with its cached images.
-constexpr double kPartitionLeases = 3;
-// A busy machine has to show so many times per lease that requests reach it.
+// A partitioned machine is released after this many lease periods. Its tasks end after the first,
+// but the machine may soon be reachable again with its cached images.
+constexpr double kMaxPartitionLeases = 3;
+// Times per lease period that a busy machine has to show that requests reach it.
 constexpr double kAcknowledgementsPerLease = 3;
 
 TokenBucket ProbeBudget(const Settings& settings, const Tuning& tuning) {
-  const double rate = MessagesPerSecond(settings, tuning) * tuning.probe_share;
+  const double rate = WorkerCallsPerSecond(settings, tuning) * tuning.probe_share;
   return {rate, std::max(kMinProbeBurst, rate * kProbeBurstSeconds)};
 }
 
-// Whether a former leader's tasks may be on the machine and nothing is known of them yet.
+// Whether tasks that a former leader placed may be on the machine and are not known yet.
 bool IsUnreconciled(const Machine& machine) {
   return machine.may_run_former_attempts && !machine.reconciled;
 }
@@ -75,12 +77,13 @@
 
 void FailureDetector::UpdateLimits(double now) {
   const auto up = static_cast<double>(health_.up);
-  limits_.quick_deaths =
-      std::max(kMinToleratedMachines, static_cast<size_t>(up * kQuickDeathShare));
-  limits_.one_way_machines =
-      std::max(kMinToleratedMachines, static_cast<size_t>(up * kOneWayShare));
-  // As often as the budget allows.
-  const double rate = MessagesPerSecond(*deps_.settings, *deps_.tuning) * deps_.tuning->probe_share;
+  limits_.max_isolated_failures =
+      std::max(kMinToleratedMachines, static_cast<size_t>(up * kMaxIsolatedFailureShare));
+  limits_.max_one_way_machines =
+      std::max(kMinToleratedMachines, static_cast<size_t>(up * kMaxOneWayShare));
+  // Probes are sent as often as the budget allows.
+  const double rate =
+      WorkerCallsPerSecond(*deps_.settings, *deps_.tuning) * deps_.tuning->probe_share;
   double interval_seconds = static_cast<double>(health_.busy) / rate;
   if (now - last_death_at_ < kFasterProbeSeconds) interval_seconds /= kFasterProbeFactor;
   limits_.probe_interval_s = std::max(deps_.tuning->probe_interval_s, interval_seconds);
@@ -90,17 +93,17 @@
   Machine& machine = (*deps_.fleet)[machine_index];
   const double now = deps_.clock->Now();
   if (!machine.up && !IsUnreconciled(machine)) return;
-  // Also while its return waits for the cloud.
+  // Leases are checked also while the release of the machine waits for the cloud.
   HandleLeaseExpiry(machine_index, now);
   if (machine.scaling_in) return;
-  // Commands that could not be sent, or must be sent again.
+  // Queues commands that could not be sent, or must be sent again.
   if (now >= machine.command_backoff_until &&
       (!machine.reconciled || deps_.fleet->HasCommands(machine_index, true))) {
     deps_.fleet->MarkChanged(machine_index);
   }
   const bool urgent = IsUrgent(machine, now);
   if (!IsCheckDue(machine, now, urgent)) return;
-  ReturnIfDead(machine_index);
+  ScaleInIfDead(machine_index);
   if (!machine.scaling_in) ProbeMachine(machine_index, urgent);
 }
 
@@ -123,8 +126,8 @@
 }
 
 bool FailureDetector::IsCheckDue(const Machine& machine, double now, bool urgent) const {
-  // Heartbeats alone don't show that requests reach the machine. Probed in time, it can be
-  // returned before lease expiry ends what runs there.
+  // Heartbeats alone don't show that requests reach the machine. If requests are lost, probing in
+  // time lets the machine be released before lease expiry ends its tasks.
   const bool unacknowledged =
       machine.active_attempts > 0 &&
       now - machine.last_acknowledged_at > deps_.settings->lease_s / kAcknowledgementsPerLease;
@@ -139,8 +142,9 @@
 bool FailureDetector::IsProtectedByPartition(const Machine& machine) const {
   if (!machine.partitioned) return false;
   if (!IsUnreconciled(machine)) return true;
-  // A former leader inside the partition may go on renewing its leases. Unreconciled machines of
-  // other former leaders hold up the tasks that may be on them.
+  // A former leader inside the partition may still renew the leases of its machines. Other
+  // unreconciled machines block the tasks that may be on them, so they are kept only if a bound on
+  // their lease expiry is stored.
   const bool in_former_leader_zone =
       machine.zone != kNoIndex && !deps_.former_leader_zone.empty() &&
       deps_.job_store->zones[machine.zone] == deps_.former_leader_zone;
@@ -150,13 +154,15 @@
 double FailureDetector::DeathLimitSeconds(const Machine& machine) const {
   const bool unreconciled = IsUnreconciled(machine);
   const Tuning& tuning = *deps_.tuning;
-  double limit_seconds = unreconciled                                  ? tuning.failover_wait_s
-                         : health_.unresponsive > limits_.quick_deaths ? tuning.death_s
-                                                                       : tuning.quick_death_s;
-  // The worker of a suspected zone, or one that sent its heartbeats to this node, first has to find
-  // another node; returning the machine would end tasks that run well. A few unreconciled machines
-  // are not given that time: they hold up all tasks that may be on them.
-  const bool few_unreconciled = unreconciled && health_.unreconciled <= limits_.quick_deaths;
+  double limit_seconds = unreconciled ? tuning.failover_wait_s
+                         : health_.unresponsive > limits_.max_isolated_failures
+                             ? tuning.death_s
+                             : tuning.quick_death_s;
+  // A worker in a suspected zone, or one that sent its heartbeats to this node, first has to find
+  // another node; releasing its machine would end healthy tasks. A few unreconciled machines don't
+  // get that time, because they block all tasks that may be on them.
+  const bool few_unreconciled =
+      unreconciled && health_.unreconciled <= limits_.max_isolated_failures;
   if ((deps_.partition_detector->IsZoneSuspected(machine) && !few_unreconciled) ||
       deps_.reachability_monitor->IsFleetMostlyUnresponsive()) {
     limit_seconds = std::max(limit_seconds, tuning.partition_death_s);
@@ -172,17 +178,17 @@
   return machine.unreachable_since >= 0 && machine.unreachable_count >= kMinOneWayProbes &&
          now - machine.unreachable_since > limit_seconds &&
          machine.last_heard_at > machine.unreachable_since &&
-         health_.one_way <= limits_.one_way_machines;
+         health_.one_way <= limits_.max_one_way_machines;
 }
 
-void FailureDetector::ReturnIfDead(MachineIndex machine_index) {
+void FailureDetector::ScaleInIfDead(MachineIndex machine_index) {
   Machine& machine = (*deps_.fleet)[machine_index];
   const double now = deps_.clock->Now();
   const double seconds_since_contact = SecondsSinceContact(machine, now);
   if (IsProtectedByPartition(machine)) {
-    // Its tasks run until its lease expires; returned sooner, they would end before there is
-    // capacity elsewhere.
-    if (seconds_since_contact > deps_.settings->lease_s * kPartitionLeases &&
+    // The tasks run until the machine's lease expires. Releasing it sooner would end them before
+    // there is capacity elsewhere.
+    if (seconds_since_contact > deps_.settings->lease_s * kMaxPartitionLeases &&
         !IsUnreconciled(machine)) {
       deps_.provisioner->ScaleIn(machine_index, "partitioned for several leases");
     }
@@ -190,12 +196,12 @@
   }
   if (seconds_since_contact > DeathLimitSeconds(machine) &&
       machine.probe_failures >= kMinFailedProbes) {
-    // The return ends whatever it still runs: sooner than lease expiry would.
+    // Releasing the machine ends its tasks sooner than lease expiry would.
     deps_.provisioner->ScaleIn(machine_index, "dead: no heartbeat and no response to probes");
     last_death_at_ = now;
     return;
   }
-  // Its tasks would end with its lease, as no renewal reaches it.
+  // Its lease would expire and end its tasks, as no renewal reaches it.
   if (IsOneWayTooLong(machine, now)) {
     deps_.provisioner->ScaleIn(machine_index,
                                "one-way reachable: sends heartbeats, but no request reaches it");
@@ -209,9 +215,9 @@
       now < machine.probe_backoff_until) {
     return;
   }
-  // Half of the burst is kept for urgent probes.
+  // Half of the burst is reserved for urgent probes.
   const double reserve =
-      urgent ? 0 : MessagesPerSecond(*deps_.settings, *deps_.tuning) * deps_.tuning->probe_share;
+      urgent ? 0 : WorkerCallsPerSecond(*deps_.settings, *deps_.tuning) * deps_.tuning->probe_share;
   if (!probe_budget_.Take(now, 1, reserve)) return;
   machine.probe_in_flight = true;
   const HeartbeatVersion version = deps_.fleet->VersionOf(machine_index);
@@ -234,7 +240,7 @@
     return;
   }
   ++machine.probe_failures;
-  // Machines known to be unresponsive must not take the whole budget.
+  // Machines known to be unresponsive must not use up the whole budget.
   const int doublings = std::min(machine.unreachable_count, kMaxProbeBackoffDoublings) - 1;
   machine.probe_backoff_until =
       deps_.clock->Now() +
--- a/src/leader/failure_detector.h
+++ b/src/leader/failure_detector.h
@@ -1,12 +1,14 @@
-// Failure detection: which machines are alive, by heartbeats and probes, and what follows.
+// Failure detection: finds by heartbeats and probes which machines are dead, and releases them.
 //
 // Machines whose heartbeats are missing, or which have not shown for some time that requests reach
 // them, are probed. A machine that neither sends heartbeats nor responds is declared dead and
-// returned to the cloud, which ends whatever it still runs. A task counts as lost only once its
-// machine is returned or its lease surely expired. Limits are longer where the fault may be this
-// node's or its network's: for many machines at once, for suspected zones, and for partitioned
-// machines, whose tasks run on until lease expiry. Owned by Leader. PROTOCOL: "Workers ->
-// controller nodes" (leases), "GET /inspect", "Outages and cuts".
+// released to the cloud, which ends all tasks that still run on it. A task counts as lost only once
+// its machine is released or the machine's lease has certainly expired. Time limits are longer
+// where this node or its network may be at fault: when many machines fail at once, in suspected
+// zones, and for partitioned machines, whose tasks continue to run until lease expiry.
+//
+// Owned by Leader. PROTOCOL: "Workers -> controller nodes" (leases), "GET /inspect", "Outages and
+// cuts".
 #pragma once
 
 #include <string>
@@ -33,29 +35,30 @@
     const Clock* clock;
     const Settings* settings;
     const Tuning* tuning;
-    std::string former_leader_zone;  // empty: not known
+    std::string former_leader_zone;  // unknown if empty
   };
 
   explicit FailureDetector(Dependencies dependencies);
 
-  // The term began at this steady time, in seconds.
+  // `term_began_at` is steady time, in seconds.
   void Start(double term_began_at) { term_began_at_ = term_began_at; }
-  // Counts the fleet's health and sets limits and the probe interval for the checks that follow.
+  // Counts the healthy and failing machines, and sets the limits for the next calls of
+  // CheckMachine().
   void AssessFleet(double now);
-  // Checks one machine: handles lease expiry, and probes it or declares it dead if that is due.
+  // Checks one machine: handles lease expiry, then declares the machine dead or probes it if due.
   void CheckMachine(MachineIndex machine_index);
-  // Responses that are still to come are ignored.
+  // From now on, responses to probes that are still in flight are ignored.
   void Stop() { stopped_ = true; }
-  // Machines looked at so far, to bound the work as the fleet grows.
+  // Machines examined so far. Shows whether the work stays within bounds as the fleet grows.
   uint64_t work_units() const { return work_units_; }
 
  private:
-  // What the latest AssessFleet() allows.
+  // Set by AssessFleet().
   struct Limits {
     double probe_interval_s = 1;  // of machines that run tasks
-    // Up to so many machines may fail at once without the network being suspected.
-    size_t quick_deaths = 2;
-    size_t one_way_machines = 2;
+    // If more machines than this fail at once, the network or this node may be at fault.
+    size_t max_isolated_failures = 2;
+    size_t max_one_way_machines = 2;
   };
 
   FleetHealth CountHealth() const;
@@ -63,16 +66,17 @@
   void HandleLeaseExpiry(MachineIndex machine_index, double now);
   bool IsCheckDue(const Machine& machine, double now, bool urgent) const;
   bool IsUrgent(const Machine& machine, double now) const;
-  // Returns the machine to the cloud if it is dead or one-way reachable for too long.
-  void ReturnIfDead(MachineIndex machine_index);
-  // Whether leases inside the partition may still be renewed or run, so that the machine is kept.
+  // Releases the machine if it is dead, or partitioned or one-way reachable for too long.
+  void ScaleInIfDead(MachineIndex machine_index);
+  // Whether the machine is kept since its lease may be valid or be renewed inside the partition.
   bool IsProtectedByPartition(const Machine& machine) const;
   double DeathLimitSeconds(const Machine& machine) const;
   bool IsOneWayTooLong(const Machine& machine, double now) const;
   void ProbeMachine(MachineIndex machine_index, bool urgent);
   void HandleProbeResponse(MachineIndex machine_index, const WorkerResponse& response,
                            HeartbeatVersion version);
-  // Seconds since the machine was heard, counted from the beginning of the term at the most.
+  // Seconds since the last heartbeat or response of the machine, or since the term began if that is
+  // less.
   double SecondsSinceContact(const Machine& machine, double now) const;
 
   const Dependencies deps_;
--- a/src/leader/heartbeat_handler.cc
+++ b/src/leader/heartbeat_handler.cc
@@ -16,9 +16,9 @@
 HeartbeatHandler::HeartbeatHandler(Dependencies dependencies) : deps_(std::move(dependencies)) {}
 
 double HeartbeatHandler::GracePeriodEnd() const {
-  // Counted from when the last successful renewal was sent, or from when all peers last confirmed
-  // that they know of no later term: in an outage of the state service that affects every node,
-  // nobody can succeed this leader, and tasks keep their leases.
+  // The grace period begins when the last successful renewal was sent, or when all peers last
+  // confirmed that they know no later term, whichever is later. In an outage of the state service
+  // that affects every node, no other controller can become leader, so tasks keep their leases.
   double since = deps_.lease->LeaseValidUntil() - deps_.tuning->lease_ms / 1000.0;
   if (deps_.no_later_term_since) {
     since = std::max(since, deps_.no_later_term_since(deps_.term));
@@ -37,7 +37,7 @@
   const bool lease_valid = deps_.lease->IsLeaseValid();
   if (!records_loaded || (!lease_valid && now > GracePeriodEnd())) return declined;
   const MachineIndex machine_index = FindOrAddMachine(heartbeat, lease_valid);
-  // A removed machine's heartbeat is a delayed copy.
+  // A heartbeat of a removed machine is a delayed copy.
   if (machine_index == kNoIndex || (*deps_.fleet)[machine_index].removed) return declined;
   if (!deps_.lease_expiry_bounds->HasNoBound(machine_index)) {
     if (lease_valid) {
@@ -64,14 +64,16 @@
   return response;
 }
 
-// Overtaken by a response to a command, or a delayed copy: it renews nothing here.
+// Handles a heartbeat that is a delayed copy, or that a response to a command has overtaken. It
+// does not renew the lease in this leader's view.
 HeartbeatResponse HeartbeatHandler::HandleStaleHeartbeat(MachineIndex machine_index,
                                                          const Heartbeat& heartbeat) {
   HeartbeatResponse response = AcceptedResponse(machine_index);
   if ((*deps_.fleet)[machine_index].suspected) {
     deps_.heartbeat_validator->RecordImplausible(heartbeat.machine, "outdated heartbeat");
   }
-  // To the worker this response may renew its lease all the same.
+  // The worker may nevertheless take this response as a renewal of its lease, so the tasks of ended
+  // jobs must be stopped.
   response.commands = deps_.fleet->BuildStopsOfEndedJobs(heartbeat);
   return response;
 }
@@ -84,8 +86,8 @@
       deps_.provisioner->SaveMachine(machine_index, WritePriority::kDeferred);
     }
   }
-  // A machine that no record, cloud or request named is recorded once it has shown that requests
-  // reach it; the delayed heartbeat of a machine that is gone never does.
+  // A machine that no record, cloud listing or scale-out request named is recorded only once it has
+  // shown that requests reach it; a delayed heartbeat of a removed machine never shows that.
   if (machine.reconciled && machine.record_id == kNoRecord &&
       Fleet::HasAcknowledgedToken(machine)) {
     deps_.provisioner->SaveMachine(machine_index, WritePriority::kDeferred);
@@ -99,17 +101,18 @@
   UpdateRecord(machine_index, heartbeat);
   Machine& machine = (*deps_.fleet)[machine_index];
   if (!machine.reconciled) {
-    // No task is adopted before the machine has shown this term's token. But this response renews
-    // its lease, perhaps the last one before this term ends: cancelled tasks must not outlive it.
+    // Tasks are adopted only after the machine has shown a token of this term. But this response
+    // renews the machine's lease and may be the last one of this term, so cancelled tasks must be
+    // stopped with it.
     response.commands = deps_.fleet->BuildStopsOfEndedJobs(heartbeat);
   } else if (machine.command_in_flight || machine.scaling_in) {
-    // A direct command may be lost again and again in a partition, and the cloud may be down: stops
-    // go with every response, or a cancelled task could outlive its time limit.
+    // In a partition, direct commands may be lost repeatedly, and the cloud may be down. So every
+    // response includes the stop commands; otherwise a cancelled task could exceed its time limit.
     response.commands = deps_.fleet->BuildStops(machine_index);
   } else {
-    // Stops and clears need no valid lease; launches do.
+    // Launches need a valid lease of the leader; stops and clears don't.
     response.commands = deps_.fleet->BuildCommands(machine_index, lease_valid);
-    // Building commands may raise the token.
+    // Building commands may increase the token.
     response.fencing_token = machine.fencing_token;
   }
   machine.lease_renewed_at = now;
--- a/src/leader/heartbeat_handler.h
+++ b/src/leader/heartbeat_handler.h
@@ -1,10 +1,11 @@
-// Heartbeats of workers and the responses that renew their leases.
+// Handling of workers' heartbeats, and the responses that renew the workers' leases.
 //
-// A response with status 200 renews the machine's lease, so it is given only while this leader
-// surely leads, or within the grace period after its lease was last valid, and never while a bound
-// on the machine's lease expiry is in effect. Commands for tasks that are to stop go with every
-// response; launches need a valid lease. Status 421 answers an implausible heartbeat, and the
-// default status sends the worker to another node. Owned by Leader. PROTOCOL: "POST /checkin".
+// A response with status 200 renews the machine's lease. So it is sent only while this leader
+// certainly leads, or within the grace period of a leader that can't renew its own lease, and never
+// while a bound on the machine's lease expiry is in effect. Stop commands are included in every
+// response with this status; launches need a valid lease of the leader. The response to an
+// implausible heartbeat has status 421. The default status makes the worker try another node. Owned
+// by Leader. PROTOCOL: "POST /checkin".
 #pragma once
 
 #include <functional>
@@ -18,7 +19,7 @@
 
 class HeartbeatHandler {
  public:
-  // A steady time, in seconds, at which surely no later term had begun.
+  // Returns a steady time, in seconds, up to which certainly no later term had begun.
   using NoLaterTermSince = std::function<double(uint64_t term)>;
 
   struct Dependencies {
@@ -31,19 +32,20 @@
     const Settings* settings;
     const Tuning* tuning;
     uint64_t term;
-    NoLaterTermSince no_later_term_since;  // may be empty: not known
+    NoLaterTermSince no_later_term_since;  // unknown if unset
   };
 
   explicit HeartbeatHandler(Dependencies dependencies);
 
-  // Applies the heartbeat and builds the response. Without the loaded records nothing is applied,
-  // since nothing is known of the machine's tasks yet.
+  // Applies the heartbeat and builds the response. Before the records are loaded, no heartbeat is
+  // applied, since the machine's tasks are not known yet.
   HeartbeatResponse HandleHeartbeat(const Heartbeat& heartbeat, bool records_loaded);
 
  private:
-  // The steady time, in seconds, until which leases are renewed without a valid leader's lease.
+  // The steady time, in seconds, until which machines' leases are renewed although this leader's
+  // own lease is not valid.
   double GracePeriodEnd() const;
-  // The machine's index; kNoIndex when it is unknown and may not be added now.
+  // The machine's index; kNoIndex if the machine is unknown and must not be added now.
   MachineIndex FindOrAddMachine(const Heartbeat& heartbeat, bool lease_valid);
   HeartbeatResponse HandleStaleHeartbeat(MachineIndex machine_index, const Heartbeat& heartbeat);
   void UpdateRecord(MachineIndex machine_index, const Heartbeat& heartbeat);
--- a/src/leader/heartbeat_validator.cc
+++ b/src/leader/heartbeat_validator.cc
@@ -23,17 +23,17 @@
 
 bool HeartbeatValidator::IsPlausible(const Heartbeat& heartbeat) {
   if (TermOf(heartbeat.fencing_token) > term_) {
-    // While the lease is valid nobody can have begun a later term, so no controller issued that
-    // token. Without a valid lease, another leader may have.
+    // While the lease is valid, no controller can have begun a later term, so none issued that
+    // token. Without a valid lease, another leader may have issued it.
     if (lease_->IsLeaseValid()) {
       RecordImplausible(heartbeat.machine, "fencing token that no controller issued");
     } else {
-      on_leadership_lost_("a worker has seen a higher token");
+      on_leadership_lost_("a worker reported a fencing token of a later term");
     }
     return false;
   }
   if (!MatchesMachine(heartbeat)) {
-    RecordImplausible(heartbeat.machine, "another type, zone or kind than known");
+    RecordImplausible(heartbeat.machine, "type, zone or kind differs from the known machine");
     return false;
   }
   return true;
--- a/src/leader/heartbeat_validator.h
+++ b/src/leader/heartbeat_validator.h
@@ -1,8 +1,8 @@
-// Plausibility of what workers send: heartbeats, and the state in responses to probes and commands.
+// Validation of workers' messages: heartbeats, and the state in responses to probes and commands.
 //
-// Guarantee: a message that contradicts what is surely known (its machine's type, zone or kind, or
-// the highest fencing token that any controller can have issued) is reported as implausible, so
-// that callers change nothing because of it. Owned by Leader, shared by HeartbeatHandler,
+// Guarantee: a message is reported as implausible if it contradicts facts that are certain, namely
+// its machine's type, zone or kind (spot or not), or the highest fencing token that any controller
+// can have issued. Callers must then ignore it. Owned by Leader, shared by HeartbeatHandler,
 // CommandDispatcher and FailureDetector.
 #pragma once
 
@@ -17,22 +17,22 @@
 
 class HeartbeatValidator {
  public:
-  // Told why the term must be over.
+  // Called with the reason why the term must be over.
   using LeadershipLostCallback = std::function<void(const char* reason)>;
 
   HeartbeatValidator(const JobStore* job_store, const Fleet* fleet, const LeadershipLease* lease,
                      const Clock* clock, uint64_t term, LeadershipLostCallback on_leadership_lost);
 
-  // False when the heartbeat can't be true; it must then change nothing. A fencing token of a
-  // later term, seen without a valid lease, also ends the term.
+  // Returns false if the heartbeat is implausible; the caller must then ignore it. A fencing token
+  // of a later term that arrives while this leader's lease is not valid also ends the term.
   bool IsPlausible(const Heartbeat& heartbeat);
-  // Counts a message that was ignored; logs at most one per second.
+  // Counts an ignored message; logs at most one of them per second.
   void RecordImplausible(const std::string& machine, const char* reason);
-  // Messages ignored in this term.
+  // Number of messages ignored in this term.
   uint64_t implausible_heartbeats() const { return implausible_heartbeats_; }
 
  private:
-  // Whether type, zone and kind are those known of the machine.
+  // Whether type, zone and kind match the known machine; true if it is not known.
   bool MatchesMachine(const Heartbeat& heartbeat) const;
 
   const JobStore* job_store_;
--- a/src/leader/leader.cc
+++ b/src/leader/leader.cc
@@ -10,13 +10,14 @@
 namespace {
 
 constexpr double kLoadRetrySeconds = 0.2;
-// With unreadable pages the records are loaded anew: the response alone may have been corrupt.
+// Records with unreadable pages are loaded again: perhaps only the response was corrupt, and not
+// the stored pages.
 constexpr int kMaxLoadsWithUnreadablePages = 4;
-// Two records of hints share a page.
-constexpr size_t kHintRecordsPerPage = 2;
+// Two records of cache hints must fit on one page.
+constexpr size_t kCacheHintRecordsPerPage = 2;
 constexpr double kLivenessCheckIntervalSeconds = 0.25;
 constexpr double kMaxPlacementIntervalSeconds = 0.5;
-// The pause between placements grows with the fleet, so that their cost is bounded.
+// The pause between placement rounds grows with the fleet, which bounds their cost.
 constexpr double kMinPlacementPauseSeconds = 0.02;
 constexpr double kPlacementPausePerMachineSeconds = 80e-6;
 constexpr double kMaxPlacementPauseSeconds = 0.2;
@@ -35,9 +36,9 @@
       fleet_(&job_store_, ports.clock, term, FleetOptionsFrom(*settings)),
       provisioner_(ports.cloud, &record_store_, &fleet_, &job_store_, ports.clock, term,
                    ProvisionerOptionsFrom(*settings)),
-      cache_hints_(
-          &record_store_, &job_store_, &fleet_,
-          RecordStoreLimitsFrom(*settings).fill_bytes / kHintRecordsPerPage - kPageOverheadBytes),
+      cache_hints_(&record_store_, &job_store_, &fleet_,
+                   RecordStoreLimitsFrom(*settings).fill_bytes / kCacheHintRecordsPerPage -
+                       kPageOverheadBytes),
       free_capacity_(&job_store_, &fleet_, &provisioner_, &record_store_, ports.clock, settings,
                      tuning),
       ranking_(&job_store_, &free_capacity_, ports.clock, tuning),
@@ -184,7 +185,7 @@
 void Leader::ApplyDisruptionPolicy(std::shared_ptr<const DisruptionPolicy> policy, bool confirmed) {
   policy_ = std::move(policy);
   policy_confirmed_ = confirmed;
-  // Drains resume from their records, and replicas are counted from the records.
+  // Drains resume from the records, and replicas are counted from them.
   if (!loaded_) return;
   ledger_.ApplyPolicy(policy_, confirmed);
   eviction_controller_.ApplyPolicy(policy_, confirmed);
@@ -219,7 +220,7 @@
     return;
   }
   if (!ports_.lease->IsLeaseValid()) {
-    // No change can become durable now: users are told to retry.
+    // No change can become durable without the lease, so users are told to retry.
     job_request_handler_.FailPending("the state service does not answer");
     record_store_.Flush();
     return;
--- a/src/leader/leader.h
+++ b/src/leader/leader.h
@@ -1,11 +1,12 @@
-// The leader: the one controller that decides on jobs, placement, machines and capacity.
+// The leader: the one controller that decides on jobs, task placement, machines and scaling.
 //
-// Guarantee: changes nothing outside without a valid lease of its term, except that it goes on
-// answering heartbeats for a grace period. Decides nothing before all records are loaded, and
-// nothing after Retire(). Leader itself only loads the records and runs the scheduling loop; each
-// decision is made by a part with a header of its own, and the parts know each other only by what
-// their constructors are given. Owned by Controller, one per term. Single-threaded: everything
-// runs on the event loop.
+// Guarantees: without a valid lease of its term the leader changes no state outside this process,
+// except that it continues to respond to heartbeats for a grace period. It makes no decision before
+// all records are loaded, and none after Retire().
+//
+// Leader itself only loads the records and runs the scheduling loop. Each decision is made by a
+// component with a header of its own; components know only those that their constructors receive.
+// Owned by Controller, one per term. Single-threaded: all code runs on the event loop.
 #pragma once
 
 #include <functional>
@@ -35,18 +36,18 @@
 
 namespace deckhall {
 
-// What a leader needs from its node; all pointers outlive it.
+// The services that a leader uses. All pointers must outlive it.
 struct LeaderPorts {
   KeyValueStore* key_value_store = nullptr;
   CloudProvider* cloud = nullptr;
   WorkerClient* workers = nullptr;
   const Clock* clock = nullptr;
   const LeadershipLease* lease = nullptr;
-  // Whether the zone's controllers are not reachable, or recently were not; may be empty.
+  // Whether the zone's controllers are unreachable or recently were; no zone is suspected if unset.
   PartitionDetector::ZoneSuspicion is_zone_suspected;
-  // A steady time at which surely no later term had begun; may be empty.
+  // A steady time, in seconds, up to which certainly no later term had begun; unknown if unset.
   HeartbeatHandler::NoLaterTermSince no_later_term_since;
-  // The zone of the former leader; empty if not known.
+  // The zone of the former leader; unknown if empty.
   std::string former_leader_zone;
 };
 
@@ -54,49 +55,48 @@
  public:
   using JobResponseCallback = JobRequestHandler::ResponseCallback;
 
-  // `leader_key` and `term` fence off all writes: the key's version is the term.
+  // `leader_key` and `term` fence all writes: the version of that key must still be the term.
   Leader(const LeaderPorts& ports, const Settings* settings, const Tuning* tuning,
          const std::string& leader_key, uint64_t term);
 
-  // Begins the term: loads the records, then schedules.
+  // Begins the term: loads the records; scheduling starts once they are loaded.
   void Start();
-  // Serves a user's request; `done` gets exactly one response, perhaps later.
+  // Serves a user's request. `done` is called exactly once, possibly after this call returns.
   void HandleJobRequest(const JobRequest& request, JobResponseCallback done);
   // Applies a worker's heartbeat and returns the response to it.
   HeartbeatResponse HandleHeartbeat(const Heartbeat& heartbeat);
-  // Does what is due; called many times a second.
+  // Runs the steps that are due. Must be called many times per second.
   void Tick();
-  // The term is over: fails pending responses and does nothing any more. The object must be kept
-  // until its requests to other services have completed.
+  // Ends the term: fails pending user requests; no decision is made afterwards. The object must be
+  // kept until its requests to other services have completed.
   void Retire();
-  // Sets the disruption policy in force; null without one. `confirmed`: the state service named it
-  // after this term began.
+  // Sets the disruption policy in force; null if there is none. `confirmed` says whether the policy
+  // was read from the state service after this term began.
   void ApplyDisruptionPolicy(std::shared_ptr<const DisruptionPolicy> policy, bool confirmed);
   // Whether the records are loaded and the term is not over.
   bool loaded() const { return loaded_; }
   uint64_t term() const { return term_; }
 
-  // Called with the reason when another term must have begun.
-  std::function<void(const char* why)> on_leadership_lost;
+  // Called with the reason when another controller must have begun a later term.
+  std::function<void(const char* reason)> on_leadership_lost;
 
   JobStore& job_store() { return job_store_; }
   Fleet& fleet() { return fleet_; }
   const EvictionController& eviction_controller() const { return eviction_controller_; }
   const DisruptionLedger& ledger() const { return ledger_; }
-  // Seconds for which most machines have not responded to this node although their heartbeats
-  // arrive by way of other nodes; 0 when they do respond.
+  // Seconds for which most machines have not responded to this node, even if their heartbeats
+  // arrive through other nodes; 0 if they respond.
   double UnreachableSeconds() const { return reachability_monitor_.UnreachableSeconds(); }
-  // Machines looked at so far, to bound the work as the fleet grows.
+  // Machines examined so far. Shows whether the work stays within bounds as the fleet grows.
   uint64_t work_units() const;
-  // Heartbeats and responses that contradicted what is known and were ignored.
+  // Heartbeats and responses that were ignored since they contradict known facts.
   uint64_t implausible_heartbeats() const { return heartbeat_validator_.implausible_heartbeats(); }
 
  private:
-  // Where loading the records stands.
   struct LoadProgress {
     bool in_flight = false;
-    double next_at = 0;        // not before this steady time, in seconds
-    int unreadable_loads = 0;  // loads that had unreadable pages
+    double next_at = 0;        // steady time of the next attempt, in seconds
+    int unreadable_loads = 0;  // attempts that found unreadable pages
   };
 
   // Steady times, in seconds, at which the steps of the scheduling loop are due.
@@ -121,7 +121,7 @@
   const Tuning* tuning_;
   const uint64_t term_;
 
-  // State and capacity. The order of members is that of their dependencies.
+  // State and capacity. Members are declared in the order of their dependencies.
   RecordStore record_store_;
   JobStore job_store_;
   Fleet fleet_;
@@ -135,13 +135,13 @@
   Placer placer_;
   Autoscaler autoscaler_;
 
-  // Users.
+  // Requests of users.
   AdmissionControl admission_control_;
   JobRequestHandler job_request_handler_;
   EndedJobCollector ended_job_collector_;
   ProgressSaver progress_saver_;
 
-  // Machines.
+  // Heartbeats, failure detection and commands to machines.
   HeartbeatValidator heartbeat_validator_;
   LeaseExpiryBounds lease_expiry_bounds_;
   HeartbeatHandler heartbeat_handler_;
--- a/src/leader/leader_options.cc
+++ b/src/leader/leader_options.cc
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr double kBytesPerKb = 1024;
-// The rest of a page is left for records that grow.
+// The remaining share of a page is reserved for records that grow.
 constexpr double kPageFillShare = 0.85;
-// Instances are listed once per so many requests that the cloud allows.
+// Instances are listed in one of this many requests that the cloud's rate limit allows.
 constexpr double kRequestsPerInstanceList = 4;
 constexpr double kMinListIntervalSeconds = 2;
 constexpr double kMaxListIntervalSeconds = 10;
--- a/src/leader/leader_options.h
+++ b/src/leader/leader_options.h
@@ -1,4 +1,4 @@
-// Options of the leader's components, as they follow from the settings. Pure functions.
+// Options of the leader's components, derived from the settings by pure functions.
 #pragma once
 
 #include "cloud/provisioner.h"
@@ -8,8 +8,8 @@
 
 namespace deckhall {
 
-// Limits of the state service, PROTOCOL "Limits and errors". Announced limits may come into force
-// at any time: the store keeps within them from the beginning.
+// Limits of the state service, see PROTOCOL, "Limits and errors". Announced limits may come into
+// force at any time, so the record store observes them from the start.
 RecordStoreLimits RecordStoreLimitsFrom(const Settings& settings);
 
 FleetOptions FleetOptionsFrom(const Settings& settings);
--- a/src/leader/leader_timing.h
+++ b/src/leader/leader_timing.h
@@ -1,4 +1,4 @@
-// Intervals and rates of a leader that follow from the settings and the tuning alone.
+// Intervals and rates of a leader, derived from the settings and the tuning alone.
 //
 // Pure functions: the same settings give the same values on every controller node.
 #pragma once
@@ -8,8 +8,8 @@
 
 namespace deckhall {
 
-// Seconds for which a leader goes on answering heartbeats after its lease was last valid, so that
-// tasks survive an outage of the state service.
+// Seconds for which a leader continues to respond to heartbeats without renewing its own lease, so
+// that tasks survive an outage of the state service.
 double GracePeriodSeconds(const Settings& settings);
 
 // Seconds after which a machine's next heartbeat is overdue.
@@ -17,7 +17,7 @@
   return settings.heartbeat_interval_s * 1.3 + 0.5;
 }
 
-// Requests to workers per second that the processor quota of this node allows for.
-double MessagesPerSecond(const Settings& settings, const Tuning& tuning);
+// Requests to workers per second that the processor quota of this node allows.
+double WorkerCallsPerSecond(const Settings& settings, const Tuning& tuning);
 
 }  // namespace deckhall
--- a/src/leader/lease_expiry_bounds.cc
+++ b/src/leader/lease_expiry_bounds.cc
@@ -5,7 +5,7 @@
 namespace deckhall {
 namespace {
 
-// Value of Machine::unrenewed_since_wall without a bound.
+// Value of Machine::unrenewed_since_wall if there is no bound.
 constexpr double kNoBound = -1;
 
 }  // namespace
--- a/src/leader/lease_expiry_bounds.h
+++ b/src/leader/lease_expiry_bounds.h
@@ -1,11 +1,13 @@
 // Persisted bounds on the lease expiry of machines in partitioned zones.
 //
-// While a machine is partitioned, nobody on this side renews its lease. The time of day since when
-// is stored with the machine's record, so that the leader after a failover need not wait a whole
-// lease of its own before it replaces what ran there. Invariant: from before a bound is stored
-// until its withdrawal is durable, this leader neither renews that machine's lease nor launches a
-// task there; otherwise a later leader could take a live lease for expired. Owned by Leader.
-// PROTOCOL: "Workers -> controller nodes" (leases), "Outages and cuts".
+// While a machine is partitioned, no controller on this side of the partition renews its lease. The
+// time of day since which this holds is stored in the machine's record. So after a failover the new
+// leader need not wait a whole lease period of its own before it replaces the machine's tasks.
+//
+// Invariant: from before a bound is stored until its withdrawal is durable, this leader neither
+// renews that machine's lease nor launches a task there; otherwise a later leader could consider a
+// valid lease expired. Owned by Leader. PROTOCOL: "Workers -> controller nodes" (leases), "Outages
+// and cuts".
 #pragma once
 
 #include "cloud/provisioner.h"
@@ -18,10 +20,12 @@
   LeaseExpiryBounds(const RecordStore* record_store, Fleet* fleet, Provisioner* provisioner,
                     const Clock* clock);
 
-  // Stores since when the machine's lease was surely not renewed. Does nothing when that is not
-  // known: a former leader may still answer a machine that has not shown this term's token.
+  // Stores the time since which the machine's lease was certainly not renewed. Does nothing if that
+  // is not known: a former leader may still renew the lease of a machine that has not shown a token
+  // of this term.
   void RecordBound(MachineIndex machine_index);
-  // Withdraws the bounds of all machines in the zone; they stay in effect until that is durable.
+  // Withdraws the bounds of all machines in the zone. Each stays in effect until its withdrawal is
+  // durable.
   void WithdrawBounds(uint32_t zone);
   // Whether no bound of the machine is in effect, so that its lease may be renewed.
   bool HasNoBound(MachineIndex machine_index);
--- a/src/leader/partition_detector.cc
+++ b/src/leader/partition_detector.cc
@@ -10,16 +10,17 @@
 namespace deckhall {
 namespace {
 
-// The window in which heartbeats are counted, as a share of the heartbeat interval.
+// Length of the window in which heartbeats are counted, as a share of the heartbeat interval.
 constexpr double kWindowIntervalShare = 0.6;
-// A partition begins below the first share of a zone's machines, and ends from the second on.
+// Shares of a zone's machines that send heartbeats: a partition begins below the first share and
+// ends at the second.
 constexpr double kPartitionBeginsShare = 0.05;
 constexpr double kPartitionEndsShare = 0.2;
 constexpr size_t kMinZoneMachines = 6;
-// With fewer machines, or without controllers in the zone, all machines may happen to be between
-// two heartbeats: then they count as missing only when overdue.
+// With fewer machines, all of them may by chance be between two heartbeats. In such zones, and in
+// zones without controllers, a machine counts as missing only when its heartbeat is overdue.
 constexpr size_t kMinZoneMachinesForWindow = 20;
-// A new leader lets this much time pass beyond the window before it judges.
+// A new leader detects no partition before the window plus this time has passed.
 constexpr double kStartMarginSeconds = 1;
 
 }  // namespace
@@ -66,13 +67,13 @@
   std::vector<ZoneCounts> counts(deps_.job_store->zones.size());
   for (MachineIndex machine_index : deps_.fleet->active()) {
     const Machine& machine = (*deps_.fleet)[machine_index];
-    // The endpoint is known of machines that ever sent a heartbeat, under whichever leader.
+    // Only machines that have sent a heartbeat to this or a former leader have a known endpoint.
     if (machine.zone == kNoIndex || machine.scaling_in || machine.endpoint.empty()) continue;
     ZoneCounts& zone = counts[machine.zone];
     const double seconds_since_contact = now - machine.last_heard_at;
     ++zone.known;
     if (seconds_since_contact < window_seconds) ++zone.alive_in_window;
-    if (seconds_since_contact < overdue_seconds) ++zone.alive_in_time;
+    if (seconds_since_contact < overdue_seconds) ++zone.alive_not_overdue;
   }
   return counts;
 }
@@ -83,7 +84,7 @@
   const bool has_controllers = HasControllers(name);
   const bool controllers_reachable = has_controllers && !IsSuspected(name);
   const bool by_window = has_controllers && counts.known >= kMinZoneMachinesForWindow;
-  const size_t alive = by_window ? counts.alive_in_window : counts.alive_in_time;
+  const size_t alive = by_window ? counts.alive_in_window : counts.alive_not_overdue;
   const double alive_limit = static_cast<double>(counts.known) *
                              (was_partitioned ? kPartitionEndsShare : kPartitionBeginsShare);
   bool is_partitioned = false;
--- a/src/leader/partition_detector.h
+++ b/src/leader/partition_detector.h
@@ -1,10 +1,10 @@
-// Detection of partitioned zones: zones whose machines run on but can't be reached from here.
+// Detection of partitioned zones, whose machines run on but are unreachable from this node.
 //
-// A zone is partitioned when almost none of its machines sends heartbeats any more while its
-// controllers are not reachable either; a zone that merely lost machines keeps its controllers.
-// Machines of a partitioned zone are not returned as dead at once: their tasks run until their
-// leases expire. Invariants: this node's own zone is never partitioned, and a zone of few machines
-// never is. Owned by Leader. PROTOCOL: "Outages and cuts".
+// A zone counts as partitioned when heartbeats of almost all its machines are missing and its
+// controllers are unreachable as well; if a zone merely lost machines, its controllers are still
+// reachable. Machines of a partitioned zone are not released as dead at once, since their tasks run
+// until their leases expire. Invariants: the zone of this node never counts as partitioned, and a
+// zone with few machines does not either. Owned by Leader. PROTOCOL: "Outages and cuts".
 #pragma once
 
 #include <functional>
@@ -19,7 +19,7 @@
 
 class PartitionDetector {
  public:
-  // Whether connections to the controllers of a zone fail or recently failed.
+  // Whether the controllers of a zone are unreachable or recently were.
   using ZoneSuspicion = std::function<bool(const std::string& zone)>;
 
   struct Dependencies {
@@ -29,29 +29,29 @@
     LeaseExpiryBounds* lease_expiry_bounds;
     const Clock* clock;
     const Settings* settings;
-    ZoneSuspicion is_zone_suspected;  // may be empty: no zone is suspected
+    ZoneSuspicion is_zone_suspected;  // no zone is suspected if unset
   };
 
   explicit PartitionDetector(Dependencies dependencies);
 
-  // The term began at this steady time, in seconds.
+  // `term_began_at` is steady time, in seconds.
   void Start(double term_began_at) { term_began_at_ = term_began_at; }
-  // Updates which zones and machines are partitioned, passes that on to FreeCapacity, and records
-  // or withdraws bounds on lease expiry accordingly.
+  // Updates which zones and machines are partitioned, notifies FreeCapacity, and records or
+  // withdraws bounds on lease expiry accordingly.
   void DetectPartitions();
-  // Whether the controllers of the machine's zone are not reachable, or recently were not.
+  // Whether the controllers of the machine's zone are unreachable or recently were.
   bool IsZoneSuspected(const Machine& machine) const;
 
  private:
-  // Machines of one zone that ever sent a heartbeat.
+  // Counts of the machines of one zone that have ever sent a heartbeat.
   struct ZoneCounts {
     size_t known = 0;
-    size_t alive_in_window = 0;  // within part of the heartbeat interval
-    size_t alive_in_time = 0;    // not overdue
+    size_t alive_in_window = 0;    // sent a heartbeat within WindowSeconds()
+    size_t alive_not_overdue = 0;  // the next heartbeat is not overdue
   };
 
   std::vector<ZoneCounts> CountZones(double now) const;
-  // Whether the zone is partitioned now, given its counts; logs a change.
+  // Returns whether the zone is partitioned now, given its counts. Logs a change.
   bool UpdateZone(uint32_t zone, const ZoneCounts& counts, double now) const;
   void UpdateMachines(double now);
   // Seconds without a heartbeat after which a machine of a large zone counts as missing.
--- a/src/leader/reachability_monitor.cc
+++ b/src/leader/reachability_monitor.cc
@@ -5,11 +5,12 @@
 namespace deckhall {
 namespace {
 
-// A smaller fleet, or fewer outcomes, may fail together by chance.
-constexpr size_t kMinMachinesToJudge = 6;
-constexpr double kMinTimeoutsToJudge = 12;
+// In a smaller fleet, or with fewer outcomes, all requests may fail by chance.
+constexpr size_t kMinMachinesToAssess = 6;
+constexpr double kMinTimeoutsToAssess = 12;
 constexpr double kOutcomeDecay = 0.5;
-// The workers are lost with fewer responses per timeout than this, or with none for so long.
+// The workers are unreachable if there are fewer responses per timeout than this share, or no
+// response for this time.
 constexpr double kFewResponsesShare = 0.1;
 constexpr double kNoResponseSeconds = 1;
 constexpr double kMostlyUnresponsiveShare = 0.3;
@@ -29,11 +30,11 @@
   }
 }
 
-bool ReachabilityMonitor::HasLostWorkers(const FleetHealth& health, double now) const {
-  if (health.up < kMinMachinesToJudge) return false;
-  const bool few_responses = recent_.timeouts > kMinTimeoutsToJudge &&
+bool ReachabilityMonitor::AreWorkersUnreachable(const FleetHealth& health, double now) const {
+  if (health.up < kMinMachinesToAssess) return false;
+  const bool few_responses = recent_.timeouts > kMinTimeoutsToAssess &&
                              recent_.responses < recent_.timeouts * kFewResponsesShare;
-  const bool no_response = recent_.consecutive_timeouts > kMinTimeoutsToJudge &&
+  const bool no_response = recent_.consecutive_timeouts > kMinTimeoutsToAssess &&
                            now - recent_.last_response_at > kNoResponseSeconds;
   return few_responses || no_response;
 }
@@ -41,19 +42,19 @@
 void ReachabilityMonitor::Update(const FleetHealth& health, double now) {
   recent_.responses *= kOutcomeDecay;
   recent_.timeouts *= kOutcomeDecay;
-  const bool lost_workers = HasLostWorkers(health, now);
+  const bool workers_unreachable = AreWorkersUnreachable(health, now);
   const auto up = static_cast<double>(health.up);
   const auto unreconciled = static_cast<double>(health.unreconciled);
-  // After a failover heartbeats may arrive later than single machines are given.
-  const bool mostly_unreconciled = health.unreconciled >= kMinMachinesToJudge &&
+  // After a failover, heartbeats may arrive later than the time limit for single machines allows.
+  const bool mostly_unreconciled = health.unreconciled >= kMinMachinesToAssess &&
                                    unreconciled > (unreconciled + up) * kMajorityShare;
   const bool many_unresponsive =
-      health.up >= kMinMachinesToJudge &&
+      health.up >= kMinMachinesToAssess &&
       static_cast<double>(health.unresponsive) > up * kMostlyUnresponsiveShare;
-  const bool mostly_one_way =
-      health.up >= kMinMachinesToJudge && static_cast<double>(health.one_way) > up * kMajorityShare;
-  fleet_mostly_unresponsive_ = lost_workers || mostly_unreconciled || many_unresponsive;
-  if (!lost_workers && !mostly_one_way) {
+  const bool mostly_one_way = health.up >= kMinMachinesToAssess &&
+                              static_cast<double>(health.one_way) > up * kMajorityShare;
+  fleet_mostly_unresponsive_ = workers_unreachable || mostly_unreconciled || many_unresponsive;
+  if (!workers_unreachable && !mostly_one_way) {
     unreachable_since_ = -1;
   } else if (unreachable_since_ < 0) {
     unreachable_since_ = now;
--- a/src/leader/reachability_monitor.h
+++ b/src/leader/reachability_monitor.h
@@ -1,9 +1,10 @@
-// Whether missing responses are the fault of single machines, or of this node and its network.
+// Detects whether missing responses are caused by single machines, or by this node or its network.
 //
-// When most requests to workers fail at once, the cause is rather on this node's side: machines
-// must then not be declared dead quickly, and a leader that stays so should resign. Machines that
-// are already known to be unreachable, or are in a suspected zone, don't count, since they say
-// nothing new about this node. Owned by Leader; fed by FailureDetector and CommandDispatcher.
+// When most requests to workers fail at once, the cause is probably on this node's side. Machines
+// must then not be declared dead quickly, and a leader for which this persists should resign.
+// Machines that are already known to be unreachable, or are in a suspected zone, are not counted,
+// since they give no new information about this node. Owned by Leader; FailureDetector and
+// CommandDispatcher record the outcomes of their requests.
 #pragma once
 
 #include <cstddef>
@@ -14,13 +15,13 @@
 
 namespace deckhall {
 
-// Counts of one pass over the fleet.
+// Numbers of machines, counted in one pass over the fleet.
 struct FleetHealth {
-  size_t up = 0;            // have sent a heartbeat and are not being returned
-  size_t busy = 0;          // of those up: run tasks
-  size_t unresponsive = 0;  // of those up: did not respond to their last probe
-  size_t one_way = 0;       // of those up: send heartbeats, but no request reaches them
-  size_t unreconciled = 0;  // may run a former leader's tasks and were not reconciled yet
+  size_t up = 0;            // have sent a heartbeat and are not being released
+  size_t busy = 0;          // machines up that run tasks
+  size_t unresponsive = 0;  // machines up that did not respond to their last probe
+  size_t one_way = 0;       // machines up that send heartbeats, but requests to them are lost
+  size_t unreconciled = 0;  // may run tasks of a former leader and are not reconciled yet
 };
 
 class ReachabilityMonitor {
@@ -28,33 +29,33 @@
   ReachabilityMonitor(const PartitionDetector* partition_detector, const Clock* clock)
       : partition_detector_(partition_detector), clock_(clock) {}
 
-  // The machine responded to a probe or command, or did not.
+  // Records whether the machine responded to a probe or command.
   void RecordOutcome(const Machine& machine, bool responded);
-  // Judges anew from the outcomes so far and the fleet's health. Called once per liveness check:
-  // older outcomes count for half at each call. `now` is steady time, in seconds.
+  // Assesses the outcomes so far and the fleet's health. Called once per liveness check; the weight
+  // of earlier outcomes is halved at each call. `now` is steady time, in seconds.
   void Update(const FleetHealth& health, double now);
-  // Whether so much of the fleet is unresponsive that this node's network is rather at fault.
+  // Whether so many machines are unresponsive that this node or its network is probably at fault.
   bool IsFleetMostlyUnresponsive() const { return fleet_mostly_unresponsive_; }
-  // Seconds for which most machines have not responded to this node although their heartbeats
-  // arrive by way of other nodes; 0 when they do respond.
+  // Seconds for which most machines have not responded to this node, even if their heartbeats
+  // arrive through other nodes; 0 if they respond.
   double UnreachableSeconds() const;
 
  private:
-  // Probes and commands of the last moments.
+  // Outcomes of recent probes and commands.
   struct RecentOutcomes {
-    double responses = 0;  // decaying counts
-    double timeouts = 0;
+    double responses = 0;          // decaying count
+    double timeouts = 0;           // decaying count
     int consecutive_timeouts = 0;  // since the last response
     double last_response_at = 0;   // steady time, in seconds
   };
 
-  bool HasLostWorkers(const FleetHealth& health, double now) const;
+  bool AreWorkersUnreachable(const FleetHealth& health, double now) const;
 
   const PartitionDetector* partition_detector_;
   const Clock* clock_;
   RecentOutcomes recent_;
   bool fleet_mostly_unresponsive_ = false;
-  double unreachable_since_ = -1;  // steady time, in seconds; negative: reachable
+  double unreachable_since_ = -1;  // steady time, in seconds; negative if reachable
 };
 
 }  // namespace deckhall
