--- a/src/drain/eviction_steps.cc
+++ b/src/drain/eviction_steps.cc
@@ -29,12 +29,12 @@
 
 void EvictionController::ReservePlace(Eviction* eviction, MachineIndex place) {
   eviction->replacement_machine = place;
-  free_capacity_->ReserveRoom(place, (*job_store_)[eviction->job]);
+  free_capacity_->ReserveResources(place, (*job_store_)[eviction->job]);
 }
 
 void EvictionController::ReleasePlace(Eviction* eviction) {
   if (eviction->replacement_machine == kNoIndex) return;
-  free_capacity_->ReleaseRoom(eviction->replacement_machine, (*job_store_)[eviction->job]);
+  free_capacity_->ReleaseReservation(eviction->replacement_machine, (*job_store_)[eviction->job]);
   eviction->replacement_machine = kNoIndex;
   fleet_->placement_needed = true;
 }
--- a/src/drain/replacement_finder.cc
+++ b/src/drain/replacement_finder.cc
@@ -19,7 +19,7 @@
   if (candidates_refreshed_at_ >= 0 && now - candidates_refreshed_at_ < kOpenLasts) return;
   candidates_refreshed_at_ = now;
   candidates_ = Roaring();
-  for (uint32_t m : free_capacity_->MachinesWithRoom(kLeastCores)) candidates_.add(m);
+  for (uint32_t m : free_capacity_->MachinesWithFreeCores(kLeastCores)) candidates_.add(m);
 }
 
 std::vector<uint32_t> ReplacementFinder::NextCandidates() {
--- a/src/leader/autoscaler.cc
+++ b/src/leader/autoscaler.cc
@@ -48,7 +48,7 @@
   offering.spot = pool.spot;
   if (type != nullptr) {
     offering += Resources{type->cores, type->gpus, type->memory_gb};
-    offering.price = pool.spot ? type->spot_price : type->price;
+    offering.hourly_price = pool.spot ? type->spot_price : type->price;
     offering.boot_s = type->boot_s;
   }
   offering.unavailable = type == nullptr || clock_->Now() < pool.backoff_until ||
@@ -78,7 +78,8 @@
   if (capacity.usable) return true;
   return !machine.unschedulable && machine.preemption_at < 0 &&
          clock_->Now() >= machine.quarantined_until &&
-         machine.unreachable_count < kUnreachableProbes && free_capacity_->IsHeardRecently(machine);
+         machine.unreachable_count < kUnreachableProbes &&
+         free_capacity_->HasRecentHeartbeat(machine);
 }
 
 void Autoscaler::AddMachine(MachineIndex machine_index, Supply* supply) const {
--- a/src/leader/consolidator.cc
+++ b/src/leader/consolidator.cc
@@ -125,7 +125,7 @@
   request.overdue = false;
   request.cached_only = true;
   // The machine itself is unschedulable, and so not among these.
-  const std::vector<uint32_t> candidates = free_capacity_->MachinesWithRoom(job.spec.cores);
+  const std::vector<uint32_t> candidates = free_capacity_->MachinesWithFreeCores(job.spec.cores);
   return BestFitQueue(&request, &free_capacity_->capacities(), candidates)
       .PopBest(true)
       .has_value();
--- a/src/leader/free_capacity.cc
+++ b/src/leader/free_capacity.cc
@@ -8,7 +8,7 @@
 
 constexpr double kUnlimited = 1e9;
 constexpr double kArrivalAveragingSeconds = 120;
-// Heartbeat intervals after which a machine gets no new tasks.
+// Without a heartbeat for this many intervals, a machine gets no new tasks.
 constexpr double kRecentHeartbeatIntervals = 1.6;
 constexpr int kUnreachableProbes = 2;
 
@@ -51,19 +51,21 @@
   const bool in_service = machine.up && machine.reconciled && !machine.removed &&
                           !machine.scaling_in && machine.preemption_at < 0;
   const bool schedulable = !machine.unschedulable && !machine.cordoned;
-  // Its record is durable before its first launch: a later leader must know where tasks may be.
-  const bool known_to_successors = machine.record_id != kNoRecord && !machine.endpoint.empty() &&
-                                   record_store_->IsDurable(machine.record_id);
-  // Heartbeats alone don't show that commands arrive there.
+  // The machine's record must be durable before its first task is launched: a later leader has to
+  // know every machine that may run tasks.
+  const bool record_durable = machine.record_id != kNoRecord && !machine.endpoint.empty() &&
+                              record_store_->IsDurable(machine.record_id);
+  // Heartbeats alone don't prove that commands reach the machine.
   const bool reachable = !machine.partitioned && machine.unrenewed_since_wall < 0 &&
                          Fleet::HasAcknowledgedToken(machine) &&
-                         machine.unreachable_count < kUnreachableProbes && IsHeardRecently(machine);
+                         machine.unreachable_count < kUnreachableProbes &&
+                         HasRecentHeartbeat(machine);
   const double now = clock_->Now();
-  return in_service && schedulable && reachable && known_to_successors &&
+  return in_service && schedulable && reachable && record_durable &&
          now >= machine.quarantined_until && now >= machine.no_room_until;
 }
 
-bool FreeCapacity::IsHeardRecently(const Machine& machine) const {
+bool FreeCapacity::HasRecentHeartbeat(const Machine& machine) const {
   const double max_age_s = std::max(tuning_->silent_after_s,
                                     settings_->heartbeat_interval_s * kRecentHeartbeatIntervals);
   return clock_->Now() - machine.last_heard_at < max_age_s;
@@ -98,12 +100,12 @@
   }
 }
 
-void FreeCapacity::ReserveRoom(MachineIndex machine_index, const Job& job) {
+void FreeCapacity::ReserveResources(MachineIndex machine_index, const Job& job) {
   reserved_[machine_index] += TaskResources(job);
   (*fleet_)[machine_index].capacity_stale = true;
 }
 
-void FreeCapacity::ReleaseRoom(MachineIndex machine_index, const Job& job) {
+void FreeCapacity::ReleaseReservation(MachineIndex machine_index, const Job& job) {
   auto it = reserved_.find(machine_index);
   if (it == reserved_.end()) return;
   Resources& reserved = it->second;
@@ -119,7 +121,8 @@
   const Machine& machine = (*fleet_)[machine_index];
   if (machine.capacity_stale) RebuildCapacity(machine_index);
   MachineCapacity& capacity = capacities_[machine_index];
-  capacity.cached_images = &machine.cached_images;  // the machine may have moved in memory
+  // Set each time, since the vector of machines may have been reallocated.
+  capacity.cached_images = &machine.cached_images;
   capacity.usable = capacity.total_cores > 0 && IsUsable(machine);
   return capacity;
 }
@@ -149,8 +152,7 @@
     const Machine& machine = (*fleet_)[machine_index];
     const MachineCapacity& capacity = Current(machine_index);
     if (machine.up) total_cores_ += capacity.total_cores;
-    service_cores.most_on_a_machine =
-        std::max(service_cores.most_on_a_machine, machine.service_cores);
+    service_cores.max_per_machine = std::max(service_cores.max_per_machine, machine.service_cores);
     service_cores.total += machine.service_cores;
     if (!capacity.usable) continue;
     (machine.spot ? free_spot_ : free_ordinary_) += std::max(0.0, capacity.cores);
@@ -175,11 +177,12 @@
   for (const MachineType& type : provisioner_->types()) {
     min_boot_s = min_boot_s == 0 ? type.boot_s : std::min(min_boot_s, type.boot_s);
   }
-  const double since = arrival_rate_updated_at_ < 0 ? 0 : clock_->Now() - arrival_rate_updated_at_;
+  const double since_update_s =
+      arrival_rate_updated_at_ < 0 ? 0 : clock_->Now() - arrival_rate_updated_at_;
   const double arrival_rate =
-      arriving_service_cores_per_s_ * std::exp(-since / kArrivalAveragingSeconds);
-  // In a large fleet several machines are lost together: hence the share of all services.
-  return std::max(service_cores.most_on_a_machine * tuning_->headroom_machines,
+      arriving_service_cores_per_s_ * std::exp(-since_update_s / kArrivalAveragingSeconds);
+  // The share of all services covers several simultaneous machine losses in a large fleet.
+  return std::max(service_cores.max_per_machine * tuning_->headroom_machines,
                   service_cores.total * tuning_->headroom_share) +
          arrival_rate * min_boot_s * tuning_->headroom_boots + PartitionedServiceCores();
 }
@@ -238,7 +241,7 @@
   return usage;
 }
 
-// A task that may still run on a machine that is not reconciled counts against its team's quota.
+// A task that may still run on an unreconciled machine counts against its team's quota.
 void FreeCapacity::CountUsage() {
   usage_ = fleet_->team_usage();
   usage_.resize(job_store_->teams.size());
@@ -277,7 +280,7 @@
     const uint32_t zone = (*fleet_)[machine_index].zone;
     if (zone != kNoIndex) ++tasks_in_zone[zone];
   }
-  // Anti-affinity: no zone holds more than half of the tasks, rounded up.
+  // With anti-affinity, no zone may run more than half of the tasks, rounded up.
   const auto max_in_zone = static_cast<uint32_t>((job.tasks.size() + 1) / 2);
   ZoneMask allowed(job_store_->zones.size(), 1);
   for (size_t zone = 0; zone < allowed.size(); ++zone) {
@@ -296,7 +299,7 @@
   request.spot_tolerant = job.spec.spot_tolerant;
   request.service = job.spec.service;
   request.gang = job.spec.gang;
-  // No replica runs yet and the service has waited long, as at a cold start.
+  // The service has no replica yet and has waited for long, as after a cold start.
   request.overdue = request.service && job.tasks_placed == 0 &&
                     clock_->Now() - job.waiting_since > tuning_->patient_s;
   request.image = job.image;
@@ -316,7 +319,7 @@
   (capacity.spot ? free_spot_ : free_ordinary_) -= job.spec.cores;
 }
 
-std::vector<uint32_t> FreeCapacity::MachinesWithRoom(double min_cores) const {
+std::vector<uint32_t> FreeCapacity::MachinesWithFreeCores(double min_cores) const {
   std::vector<uint32_t> machines;
   for (MachineIndex machine_index : fleet_->active()) {
     const MachineCapacity& capacity = capacities_[machine_index];
--- a/src/leader/gang_placer.cc
+++ b/src/leader/gang_placer.cc
@@ -9,7 +9,7 @@
 namespace deckhall {
 namespace {
 
-// Gangs that one pass reserves machines for; the others wait for their turn.
+// Limit on the gangs for which one pass reserves machines; other gangs wait for a later pass.
 constexpr int kMaxReservations = 8;
 
 }  // namespace
@@ -23,23 +23,23 @@
       clock_(clock),
       tuning_(tuning) {}
 
-void GangPlacer::Place(JobIndex job_index, const std::vector<uint32_t>& machines_with_room) {
+void GangPlacer::Place(JobIndex job_index, const std::vector<uint32_t>& candidate_machines) {
   const Job& job = (*job_store_)[job_index];
   if (!job.acknowledged || job.waiting_tasks.empty() || job.tasks_unreconciled > 0) return;
   if (clock_->Now() < job.backoff_until) return;
   if (job.tasks_placed > 0) {
-    // Nothing joins an attempt that may have started.
+    // No task may join an attempt that may have started already.
     const bool not_started = job.gang_attempt != 0 && !job.gang_started && !job.gang_broken;
-    if (not_started) ReplaceLostTasks(job_index, machines_with_room);
+    if (not_started) ReplaceLostTasks(job_index, candidate_machines);
     return;
   }
-  // An earlier attempt may still hold machines.
-  if (job.machines.empty()) Start(job_index, machines_with_room);
+  // Wait while an earlier attempt still uses machines.
+  if (job.machines.empty()) Start(job_index, candidate_machines);
 }
 
 bool GangPlacer::Plan::IsBetterThan(const Plan& other) const {
   if (other.machines.empty()) return true;
-  if (last_start_s != other.last_start_s) return last_start_s < other.last_start_s;
+  if (start_delay_s != other.start_delay_s) return start_delay_s < other.start_delay_s;
   return cost < other.cost;
 }
 
@@ -54,51 +54,51 @@
   return masks;
 }
 
-void GangPlacer::TakeTentatively(const Job& job, MachineIndex machine_index) {
+void GangPlacer::AllocateTentatively(const Job& job, MachineIndex machine_index) {
   MachineCapacity& capacity = free_capacity_->capacities()[machine_index];
   capacity -= TaskResources(job);
   capacity.fetching_images.push_back(job.image);
 }
 
-void GangPlacer::GiveBack(const Job& job, MachineIndex machine_index) {
+void GangPlacer::UndoTentativeAllocation(const Job& job, MachineIndex machine_index) {
   MachineCapacity& capacity = free_capacity_->capacities()[machine_index];
   capacity += TaskResources(job);
   capacity.fetching_images.pop_back();
 }
 
 GangPlacer::Plan GangPlacer::FindPlan(const Job& job, const ZoneMask& zones,
-                                      const std::vector<uint32_t>& machines_with_room) {
+                                      const std::vector<uint32_t>& candidate_machines) {
   Plan plan;
   const size_t task_count = job.waiting_tasks.size();
   ZoneMask allowed = zones;
   const ResourceRequest request = free_capacity_->RequestFor(job, allowed, plan.machines);
-  BestFitQueue queue(&request, &free_capacity_->capacities(), machines_with_room);
-  free_capacity_->work_units += machines_with_room.size();
+  BestFitQueue queue(&request, &free_capacity_->capacities(), candidate_machines);
+  free_capacity_->work_units += candidate_machines.size();
   while (plan.machines.size() < task_count) {
     if (job.spec.anti_affinity) {
-      // Each task changes how the zones may be used.
-      std::optional<ZoneMask> left = free_capacity_->AllowedZones(job, plan.machines);
-      if (!left) break;
-      allowed = std::move(*left);
+      // Each placed task changes the set of allowed zones.
+      std::optional<ZoneMask> remaining_zones = free_capacity_->AllowedZones(job, plan.machines);
+      if (!remaining_zones) break;
+      allowed = std::move(*remaining_zones);
     }
     const std::optional<MachineIndex> machine = queue.PopBest(true);
     if (!machine) break;
-    plan.last_start_s = std::max(plan.last_start_s, queue.cost());
+    plan.start_delay_s = std::max(plan.start_delay_s, queue.cost());
     plan.cost += queue.cost();
     plan.machines.push_back(*machine);
-    TakeTentatively(job, *machine);
+    AllocateTentatively(job, *machine);
     queue.Reinsert(*machine);
   }
-  for (MachineIndex machine_index : plan.machines) GiveBack(job, machine_index);
+  for (MachineIndex machine_index : plan.machines) UndoTentativeAllocation(job, machine_index);
   if (plan.machines.size() < task_count) return {};
   return plan;
 }
 
 GangPlacer::Plan GangPlacer::FindBestPlan(const Job& job, const std::vector<ZoneMask>& zone_masks,
-                                          const std::vector<uint32_t>& machines_with_room) {
+                                          const std::vector<uint32_t>& candidate_machines) {
   Plan best;
   for (const ZoneMask& zones : zone_masks) {
-    Plan plan = FindPlan(job, zones, machines_with_room);
+    Plan plan = FindPlan(job, zones, candidate_machines);
     if (!plan.machines.empty() && plan.IsBetterThan(best)) best = std::move(plan);
   }
   return best;
@@ -111,22 +111,22 @@
   (*fleet_)[machine_index].idle_since = -1;
 }
 
-void GangPlacer::Start(JobIndex job_index, const std::vector<uint32_t>& machines_with_room) {
+void GangPlacer::Start(JobIndex job_index, const std::vector<uint32_t>& candidate_machines) {
   Job& job = (*job_store_)[job_index];
   if (job.waiting_tasks.size() < job.tasks.size() ||
       !free_capacity_->HasTeamQuota(job, job.tasks.size())) {
     return;
   }
   const std::vector<ZoneMask> zone_masks = ZoneMasks(job);
-  const Plan plan = FindBestPlan(job, zone_masks, machines_with_room);
+  const Plan plan = FindBestPlan(job, zone_masks, candidate_machines);
   if (plan.machines.empty()) {
     if (clock_->Now() - job.waiting_since >= tuning_->gang_reserve_s) {
       ReserveMachines(job_index, zone_masks);
     }
     return;
   }
-  if (plan.last_start_s > tuning_->gang_long_fetch_s &&
-      MakeRoomAtImage(job_index, plan, zone_masks)) {
+  if (plan.start_delay_s > tuning_->gang_long_fetch_s &&
+      PreemptAtCachedImage(job_index, plan, zone_masks)) {
     return;
   }
   job.gang_attempt = fleet_->NewAttemptNumber();
@@ -135,18 +135,19 @@
   for (MachineIndex machine_index : plan.machines) PlaceOn(job_index, machine_index);
 }
 
-bool GangPlacer::MakeRoomAtImage(JobIndex job_index, const Plan& plan,
-                                 const std::vector<ZoneMask>& zone_masks) {
+bool GangPlacer::PreemptAtCachedImage(JobIndex job_index, const Plan& plan,
+                                      const std::vector<ZoneMask>& zone_masks) {
   const Job& job = (*job_store_)[job_index];
-  // Preemption must be over before the fetch would be.
+  // After half of the long-fetch limit, preemption might not finish before the fetch would.
   if (clock_->Now() - job.waiting_since > tuning_->gang_long_fetch_s / 2) return false;
-  // The plan's start may be late because of machines on which the job failed, not of a fetch.
+  // The start may be delayed by the cost of machines on which the job failed, not by a fetch.
   if (!job.failed_machines.empty()) return false;
-  Preemptor::RoomRequest room;
-  room.job = job_index;
-  room.cached_image_only = true;
-  room.max_loss_per_place = tuning_->preempt_for_image * plan.last_start_s * job.spec.cores;
-  const std::vector<MachineIndex> machines = preemptor_->MakeGangRoom(room, zone_masks);
+  Preemptor::PreemptionRequest preemption;
+  preemption.job = job_index;
+  preemption.cached_image_only = true;
+  preemption.max_lost_core_seconds =
+      tuning_->preempt_for_image * plan.start_delay_s * job.spec.cores;
+  const std::vector<MachineIndex> machines = preemptor_->PreemptForGang(preemption, zone_masks);
   for (MachineIndex machine_index : machines) {
     free_capacity_->capacities()[machine_index].usable = false;
   }
@@ -164,15 +165,15 @@
 }
 
 void GangPlacer::ReplaceLostTasks(JobIndex job_index,
-                                  const std::vector<uint32_t>& machines_with_room) {
+                                  const std::vector<uint32_t>& candidate_machines) {
   Job& job = (*job_store_)[job_index];
   if (!free_capacity_->HasTeamQuota(job, job.waiting_tasks.size())) return;
   std::vector<uint32_t> sibling_machines = job.machines;
   std::optional<ZoneMask> zones = free_capacity_->AllowedZones(job, sibling_machines);
   if (!zones) return;
   const ResourceRequest request = free_capacity_->RequestFor(job, *zones, sibling_machines);
-  BestFitQueue queue(&request, &free_capacity_->capacities(), machines_with_room);
-  free_capacity_->work_units += machines_with_room.size();
+  BestFitQueue queue(&request, &free_capacity_->capacities(), candidate_machines);
+  free_capacity_->work_units += candidate_machines.size();
   while (!job.waiting_tasks.empty()) {
     const std::optional<MachineIndex> machine = queue.PopBest(true);
     if (!machine) return;
@@ -184,14 +185,14 @@
     PlaceOn(job_index, *machine);
     queue.Reinsert(*machine);
     if (!job.spec.anti_affinity) continue;
-    std::optional<ZoneMask> left = free_capacity_->AllowedZones(job, sibling_machines);
-    if (!left) return;
-    *zones = std::move(*left);  // the request borrows it
+    std::optional<ZoneMask> remaining_zones = free_capacity_->AllowedZones(job, sibling_machines);
+    if (!remaining_zones) return;
+    *zones = std::move(*remaining_zones);  // the request points to it
   }
 }
 
-std::vector<MachineIndex> GangPlacer::MachinesFreeFirst(const Job& job,
-                                                        const ZoneMask& zones) const {
+std::vector<MachineIndex> GangPlacer::ChooseMachinesToReserve(const Job& job,
+                                                              const ZoneMask& zones) const {
   const ResourceRequest request = free_capacity_->RequestFor(job, zones, {});
   const std::vector<MachineCapacity>& capacities = free_capacity_->capacities();
   std::vector<MachineIndex> machines;
@@ -206,35 +207,35 @@
     return capacities[a].cores > capacities[b].cores;
   });
   const auto needed = static_cast<double>(job.waiting_tasks.size());
-  double places = 0;
-  size_t used = 0;
-  while (used < machines.size() && places < needed) {
-    // Tasks of arrays end soon; services and gangs stay.
-    const MachineIndex machine_index = machines[used];
+  double free_slots = 0;
+  size_t machine_count = 0;
+  while (machine_count < machines.size() && free_slots < needed) {
+    // Tasks of arrays complete soon; services and gangs keep running.
+    const MachineIndex machine_index = machines[machine_count];
     const double cores =
         capacities[machine_index].cores + (*fleet_)[machine_index].preemptible_cores;
-    places += std::floor(std::max(0.0, cores) / std::max(job.spec.cores, kResourceEpsilon) +
-                         kResourceEpsilon);
-    ++used;
+    free_slots += std::floor(std::max(0.0, cores) / std::max(job.spec.cores, kResourceEpsilon) +
+                             kResourceEpsilon);
+    ++machine_count;
   }
-  if (places < needed) return {};
-  machines.resize(used);
+  if (free_slots < needed) return {};
+  machines.resize(machine_count);
   return machines;
 }
 
-// Without a reservation freed capacity would go to small tasks without end.
+// Without a reservation, small tasks would take all freed capacity and the gang would never start.
 void GangPlacer::ReserveMachines(JobIndex job_index, const std::vector<ZoneMask>& zone_masks) {
   if (++reservations_ > kMaxReservations) return;
   const Job& job = (*job_store_)[job_index];
   std::vector<MachineIndex> machines;
   if (clock_->Now() - job.waiting_since >= tuning_->preempt_after_s) {
-    Preemptor::RoomRequest room;
-    room.job = job_index;
-    machines = preemptor_->MakeGangRoom(room, zone_masks);
+    Preemptor::PreemptionRequest preemption;
+    preemption.job = job_index;
+    machines = preemptor_->PreemptForGang(preemption, zone_masks);
   }
   for (const ZoneMask& zones : zone_masks) {
     if (!machines.empty()) break;
-    machines = MachinesFreeFirst(job, zones);
+    machines = ChooseMachinesToReserve(job, zones);
   }
   for (MachineIndex machine_index : machines) {
     free_capacity_->capacities()[machine_index].usable = false;
--- a/src/leader/gang_placer.h
+++ b/src/leader/gang_placer.h
@@ -1,7 +1,7 @@
-// Gang scheduling: all tasks of an attempt have their machines before any of them is launched.
+// Gang scheduling: all tasks of a gang are assigned to machines before any of them is launched.
 //
-// A gang's tasks find each other by their attempt number, so all of an attempt share one. Owned by
-// Placer; what happens to a gang after its start is GangSupervisor's.
+// The tasks of a gang find each other by their attempt number, so all tasks of one attempt share
+// it. Owned by Placer. GangSupervisor manages gangs after their start.
 #pragma once
 
 #include <vector>
@@ -16,47 +16,49 @@
   GangPlacer(JobStore* job_store, Fleet* fleet, FreeCapacity* free_capacity, Preemptor* preemptor,
              const Clock* clock, const Tuning* tuning);
 
-  // A placement pass begins.
+  // Begins a placement pass.
   void BeginPass() { reservations_ = 0; }
 
-  // Starts a gang all of whose tasks wait, or replaces lost tasks of an attempt that has not
-  // started yet. `machines_with_room`: candidates, as of the beginning of the pass.
-  void Place(JobIndex job_index, const std::vector<uint32_t>& machines_with_room);
+  // Starts a gang if all of its tasks are waiting, or replaces the lost tasks of an attempt that
+  // has not started yet. `candidate_machines` are those with free capacity as the pass began.
+  void Place(JobIndex job_index, const std::vector<uint32_t>& candidate_machines);
 
  private:
-  // A machine for each task.
+  // An assignment of each task to a machine.
   struct Plan {
-    std::vector<uint32_t> machines;  // empty: no plan
-    double last_start_s = 0;         // until the last of them would start
-    double cost = 0;
+    std::vector<uint32_t> machines;  // one entry per task; empty if there is no plan
+    double start_delay_s = 0;        // largest cost of a task, which approximates the gang's start
+    double cost = 0;                 // of all tasks, in seconds
 
     bool IsBetterThan(const Plan& other) const;
   };
 
-  void Start(JobIndex job_index, const std::vector<uint32_t>& machines_with_room);
-  // The best plan over the zone masks; empty if the gang fits in none.
+  void Start(JobIndex job_index, const std::vector<uint32_t>& candidate_machines);
+  // The best plan over all zone masks; empty if the gang fits within none of them.
   Plan FindBestPlan(const Job& job, const std::vector<ZoneMask>& zone_masks,
-                    const std::vector<uint32_t>& machines_with_room);
-  // A plan within the zones; empty if not all tasks find a machine.
+                    const std::vector<uint32_t>& candidate_machines);
+  // A plan within the zones; empty if not all tasks fit.
   Plan FindPlan(const Job& job, const ZoneMask& zones,
-                const std::vector<uint32_t>& machines_with_room);
-  // Preempts tasks on machines that hold the image, if the gang may claim their resources, rather
-  // than start with the slowest fetch of the plan. Returns whether it did.
-  bool MakeRoomAtImage(JobIndex job_index, const Plan& plan,
-                       const std::vector<ZoneMask>& zone_masks);
-  // Places the missing tasks under the attempt's number.
-  void ReplaceLostTasks(JobIndex job_index, const std::vector<uint32_t>& machines_with_room);
-  // The masks within which the whole gang may run: one zone each if it must be in one.
+                const std::vector<uint32_t>& candidate_machines);
+  // Preempts tasks on machines that have cached the image, where the gang may preempt them, instead
+  // of starting after the slowest fetch of the plan. Returns whether it preempted any.
+  bool PreemptAtCachedImage(JobIndex job_index, const Plan& plan,
+                            const std::vector<ZoneMask>& zone_masks);
+  // Places the lost tasks again, with the number of the current attempt.
+  void ReplaceLostTasks(JobIndex job_index, const std::vector<uint32_t>& candidate_machines);
+  // The masks within which the whole gang may run: one mask per zone if it must run in a single
+  // zone.
   std::vector<ZoneMask> ZoneMasks(const Job& job) const;
-  // Takes a task's resources out of the snapshot while a plan is made, and puts them back.
-  void TakeTentatively(const Job& job, MachineIndex machine_index);
-  void GiveBack(const Job& job, MachineIndex machine_index);
+  // Subtract a task's resources from the snapshot during planning, and add them back.
+  void AllocateTentatively(const Job& job, MachineIndex machine_index);
+  void UndoTentativeAllocation(const Job& job, MachineIndex machine_index);
   void PlaceOn(JobIndex job_index, MachineIndex machine_index);
-  // Keeps machines from lower-ranked jobs until there is room for the gang.
+  // Reserves machines in this pass, so that lower-ranked jobs don't use them before the gang fits.
   void ReserveMachines(JobIndex job_index, const std::vector<ZoneMask>& zone_masks);
-  // The machines on which room for the gang will be free first; none if they can't hold it.
-  std::vector<MachineIndex> MachinesFreeFirst(const Job& job, const ZoneMask& zones) const;
-  // The machine still lists that attempt of the task: a launch would have no effect.
+  // The machines on which capacity for the gang is expected first; empty if the gang can't fit.
+  std::vector<MachineIndex> ChooseMachinesToReserve(const Job& job, const ZoneMask& zones) const;
+  // Whether the machine still lists that attempt of the task, so that a launch would have no
+  // effect.
   bool ListsAttempt(JobIndex job_index, uint32_t task_index, uint64_t attempt_number,
                     MachineIndex machine_index) const;
 
@@ -66,7 +68,7 @@
   Preemptor* preemptor_;
   const Clock* clock_;
   const Tuning* tuning_;
-  int reservations_ = 0;  // gangs that machines were reserved for in this pass
+  int reservations_ = 0;  // number of gangs with reserved machines in this pass
 };
 
 }  // namespace deckhall
--- a/src/leader/gang_supervisor.cc
+++ b/src/leader/gang_supervisor.cc
@@ -7,13 +7,14 @@
 namespace deckhall {
 namespace {
 
-// A lost task is replaced within this time, or the attempt is stopped: it holds machines meanwhile.
+// If a lost task isn't replaced within this time, the attempt is stopped, since it occupies
+// machines while it waits.
 constexpr double kReplaceWithinSeconds = 5;
-// Of Settings::gang_wait_s, what a replacement needs at least to start.
+// Minimum time of Settings::gang_wait_s that must be left for a replacement to start.
 constexpr double kMinStartSeconds = 5;
-// Preemption notices may be half as long as announced.
-constexpr double kCertainNoticeShare = 0.5;
-// Beyond the checkpoint grace period, so that the stop has reached every task.
+// The cloud may reclaim a machine after half of the announced notice.
+constexpr double kGuaranteedNoticeShare = 0.5;
+// Added to the checkpoint grace period, so that the stop command reaches every task.
 constexpr double kCheckpointMarginSeconds = 1;
 
 }  // namespace
@@ -53,7 +54,7 @@
   Job& job = (*job_store_)[attempt.job];
   if (!job.spec.gang || attempt.number != job.gang_attempt) return;
   switch (attempt.exit_reason) {
-    // Refused before it started: another machine may take it.
+    // The task was refused before it started, so another machine may run it; or it completed.
     case ExitReason::kNoRoom:
     case ExitReason::kInUse:
     case ExitReason::kUnknown:
@@ -77,10 +78,10 @@
   spdlog::info("job={} tasks={}: gang stopped: {}", (*job_store_)[job_index].id, stopped, reason);
 }
 
-void GangSupervisor::StopEarlierAttempts(JobIndex job_index, uint64_t present_attempt) {
+void GangSupervisor::StopEarlierAttempts(JobIndex job_index, uint64_t current_attempt) {
   ForEachAttempt(job_index,
-                 [this, present_attempt](MachineIndex machine_index, TaskAttempt* attempt) {
-                   if (!attempt->wanted || attempt->number == present_attempt) return;
+                 [this, current_attempt](MachineIndex machine_index, TaskAttempt* attempt) {
+                   if (!attempt->wanted || attempt->number == current_attempt) return;
                    fleet_->RequestStop(machine_index, attempt, 0);
                  });
 }
@@ -96,7 +97,7 @@
   const GangAttempt gang_attempt = ObserveAttempt(job_index);
   if (gang_attempt.number == 0) return;
   if (gang_attempt.number != job.gang_attempt) {
-    // Started under an earlier leader.
+    // The attempt was started by an earlier leader.
     job.gang_attempt = gang_attempt.number;
     job.gang_waiting_since = clock_->Now();
     job.gang_started = job.gang_broken = false;
@@ -104,9 +105,9 @@
   job.gang_started = job.gang_started || gang_attempt.started;
   StopEarlierAttempts(job_index, gang_attempt.number);
   if (gang_attempt.checkpointing) {
-    // An earlier leader may not have told all tasks.
+    // An earlier leader may not have sent the stop to all tasks.
     StopAttempts(job_index, job.spec.checkpoint_grace_s + kCheckpointMarginSeconds,
-                 "some of its tasks write checkpoints already");
+                 "some of its tasks are already writing checkpoints");
   } else if (job.gang_broken || (job.gang_started && !job.waiting_tasks.empty())) {
     StopAttempts(job_index, 0, "a task was lost");
   } else if (!job.waiting_tasks.empty() && IsTooLateToComplete(job)) {
@@ -139,18 +140,18 @@
   const Job& job = (*job_store_)[job_index];
   const GangAttempt gang_attempt = ObserveAttempt(job_index);
   if (!job.gang_started) {
-    // The task is replaced while the others wait.
+    // This task is replaced while the others wait for it.
     fleet_->RequestStop(machine_index, attempt, 0);
     return;
   }
-  const double certain_s = seconds_left * kCertainNoticeShare;
-  const double ran =
+  const double guaranteed_notice_s = seconds_left * kGuaranteedNoticeShare;
+  const double run_s =
       gang_attempt.running_since < 0 ? 0 : clock_->Now() - gang_attempt.running_since;
-  if (ranking_->ExpectedTaskSeconds(job) - ran < certain_s) return;
+  if (ranking_->ExpectedTaskSeconds(job) - run_s < guaranteed_notice_s) return;
   const double checkpoint_s = job.spec.checkpoint_grace_s + kCheckpointMarginSeconds;
-  const bool checkpoints = CanCheckpoint(job.spec) && checkpoint_s < certain_s;
-  // Without time for a checkpoint the work since the last one is lost either way: the next attempt
-  // starts the sooner.
+  const bool checkpoints = CanCheckpoint(job.spec) && checkpoint_s < guaranteed_notice_s;
+  // If there is no time for a checkpoint, the work since the last one is lost in any case; an
+  // immediate stop lets the next attempt start sooner.
   StopAttempts(job_index, checkpoints ? checkpoint_s : 0,
                "preemption notice for one of its machines");
 }
--- a/src/leader/gang_supervisor.h
+++ b/src/leader/gang_supervisor.h
@@ -1,9 +1,9 @@
-// Supervises gangs after their start: an attempt that lost a task, or can't be completed in time,
-// is stopped as a whole, so that it starts again soon. A stop reaches all tasks of an attempt or
-// none.
+// Supervises gangs after their start. An attempt that has lost a task, or whose lost tasks can't be
+// replaced in time, is stopped as a whole, so that the gang restarts soon. A stop always applies to
+// all tasks of an attempt.
 //
-// Owned by the leader. What it knows of an attempt is in Job::gang_attempt and the fields beside
-// it, and is rebuilt from the workers' heartbeats after a failover.
+// Owned by the leader. The state of an attempt is in Job::gang_attempt and the fields next to it,
+// and is rebuilt from the agents' heartbeats after a failover.
 #pragma once
 
 #include <functional>
@@ -20,40 +20,40 @@
   GangSupervisor(JobStore* job_store, Fleet* fleet, const Ranking* ranking, const Clock* clock,
                  const Settings* settings);
 
-  // A task of the gang exited there.
+  // Handles the exit of an attempt; ignored if it doesn't belong to a gang's current attempt.
   void HandleTaskExit(const TaskAttempt& attempt);
 
   // Checks all gangs that have tasks on machines.
   void CheckGangs();
 
-  // Stops the whole gang; with time for its checkpoints if all of its tasks can write them.
-  // `reason` goes into the log.
+  // Stops the whole gang, with a grace period for checkpoints if all of its tasks can write them.
+  // `reason` is logged.
   void StopGang(JobIndex job_index, const char* reason);
 
-  // The cloud takes a machine that holds this task of a gang away in `seconds_left`.
+  // Handles a notice that the cloud reclaims the machine of this gang task in `seconds_left`.
   void HandlePreemptionNotice(MachineIndex machine_index, TaskAttempt* attempt,
                               double seconds_left);
 
  private:
-  // The present attempt, as its tasks' heartbeats show it.
+  // The current attempt, as reported by the heartbeats of its machines.
   struct GangAttempt {
-    uint64_t number = 0;         // 0: none of the gang's tasks is wanted
-    bool started = false;        // its tasks run, or did
-    bool checkpointing = false;  // some of its tasks were told to stop
-    double running_since = -1;   // of the task that started last; negative: none runs
+    uint64_t number = 0;         // 0 if no task of the gang is wanted
+    bool started = false;        // some of its tasks run or have run
+    bool checkpointing = false;  // some of its tasks were instructed to stop
+    double running_since = -1;   // start of the latest task; negative if none runs
   };
 
   using AttemptVisitor = std::function<void(MachineIndex, TaskAttempt*)>;
-  // Calls `visit` for each of the job's attempts that take resources on a machine.
+  // Calls `visit` for each of the job's attempts that still use resources on a machine.
   void ForEachAttempt(JobIndex job_index, const AttemptVisitor& visit);
   GangAttempt ObserveAttempt(JobIndex job_index);
   void CheckGang(JobIndex job_index);
-  void StopEarlierAttempts(JobIndex job_index, uint64_t present_attempt);
-  // Whether all tasks can write a checkpoint before they notice that others are gone.
+  void StopEarlierAttempts(JobIndex job_index, uint64_t current_attempt);
+  // Whether all tasks can write a checkpoint before they detect the loss of their peers.
   bool CanCheckpoint(const JobSpec& spec) const;
-  // Whether a lost task can't be replaced any more before the gang gives up.
+  // Whether it is too late to replace a lost task before the others stop waiting for it.
   bool IsTooLateToComplete(const Job& job) const;
-  // Stops all tasks that are still wanted.
+  // Stops all tasks of the gang that are still wanted.
   void StopAttempts(JobIndex job_index, double grace_period_s, const char* reason);
 
   JobStore* job_store_;
--- a/src/leader/placer.cc
+++ b/src/leader/placer.cc
@@ -6,9 +6,9 @@
 namespace deckhall {
 namespace {
 
-// Failures in a row after which a job is tried with one task at a time.
+// After this many consecutive failures, a job is retried with one task at a time.
 constexpr uint32_t kFailingJobFailures = 3;
-// Arrays may use the headroom once they waited for this part of Tuning::starvation_s.
+// An array may use the headroom after it has waited for this share of Tuning::starvation_s.
 constexpr double kHeadroomStarvationShare = 0.5;
 constexpr size_t kAllTasks = SIZE_MAX;
 
@@ -27,7 +27,7 @@
       preemptor_(job_store, fleet, free_capacity, ledger, clock),
       gang_placer_(job_store, fleet, free_capacity, &preemptor_, clock, tuning) {}
 
-double Placer::FetchPatienceSeconds(const Job& job) const {
+double Placer::LocalityDelaySeconds(const Job& job) const {
   return tuning_->delay_fetches * FetchSeconds(job);
 }
 
@@ -39,8 +39,8 @@
   return min_rate > 0 ? job.spec.image_gb / min_rate : 0;
 }
 
-// Where nothing more can be scaled out, a reserve without end would starve arrays. What they use
-// of it is preempted when a replica comes.
+// If no machine can be added, a permanent reserve would starve arrays. An array that uses the
+// headroom is preempted when a replica needs it.
 double Placer::HeadroomReserve(const Job& job) const {
   const double waited = clock_->Now() - job.starved_since;
   const bool may_use_headroom = waited > tuning_->starvation_s * kHeadroomStarvationShare;
@@ -67,18 +67,18 @@
   return as_large && same_zones && same_kinds && same_types;
 }
 
-bool Placer::FailedBefore(const ResourceRequest& request) const {
+bool Placer::FailedInThisPass(const ResourceRequest& request) const {
   return std::any_of(failed_requests_.begin(), failed_requests_.end(),
                      [&request](const FailedRequest& failed) { return failed.Covers(request); });
 }
 
-// Replicas that run don't count as unproven: they never complete, and the missing ones would wait
-// without end.
+// Running replicas don't count as unproven: replicas never complete, so the missing ones would
+// wait forever.
 size_t Placer::LimitFailingJob(const Job& job, size_t max_tasks) const {
   if (job.consecutive_failures < kFailingJobFailures) return max_tasks;
-  const uint32_t unproven =
+  const uint32_t unproven_tasks =
       job.spec.service ? job.tasks_placed - job.tasks_running : job.tasks_placed;
-  return std::min<size_t>(max_tasks, unproven > 0 ? 0 : 1);
+  return std::min<size_t>(max_tasks, unproven_tasks > 0 ? 0 : 1);
 }
 
 bool Placer::MayUseOrdinaryMachines(const Job& job, double reserve) const {
@@ -100,23 +100,24 @@
   ResourceRequest request = free_capacity_->RequestFor(job, *zones, sibling_machines);
   request.sibling_machines = &sibling_machines;
   request.cached_or_fetching_only = contended_ && !job.spec.service && !job.guaranteed &&
-                                    now - job.waiting_since < FetchPatienceSeconds(job);
+                                    now - job.waiting_since < LocalityDelaySeconds(job);
   request.cached_only = cached_only;
-  if (FailedBefore(request)) return;
+  if (FailedInThisPass(request)) return;
   max_tasks = LimitFailingJob(job, max_tasks);
-  // As of the first task: placing one ends the starvation that may lift the reserve.
+  // Computed before the first task is placed, since placing it resets the starvation time by which
+  // the reserve is waived.
   const double reserve = HeadroomReserve(job);
   const bool fits_on_spot =
       job.spec.spot_tolerant && free_capacity_->free_spot() + kResourceEpsilon >= job.spec.cores;
   if (!MayUseOrdinaryMachines(job, reserve) && !fits_on_spot) return;
-  BestFitQueue queue(&request, &free_capacity_->capacities(), machines_with_room_);
-  free_capacity_->work_units += machines_with_room_.size();
+  BestFitQueue queue(&request, &free_capacity_->capacities(), candidate_machines_);
+  free_capacity_->work_units += candidate_machines_.size();
   size_t placed = 0;
   while (!job.waiting_tasks.empty() && placed < max_tasks && free_capacity_->HasTeamQuota(job)) {
     if (placed > 0) {
-      std::optional<ZoneMask> left = free_capacity_->AllowedZones(job, sibling_machines);
-      if (!left) break;
-      *zones = std::move(*left);  // the request borrows it
+      std::optional<ZoneMask> remaining_zones = free_capacity_->AllowedZones(job, sibling_machines);
+      if (!remaining_zones) break;
+      *zones = std::move(*remaining_zones);  // the request points to it
     }
     const std::optional<MachineIndex> machine = queue.PopBest(MayUseOrdinaryMachines(job, reserve));
     if (!machine) {
@@ -133,46 +134,48 @@
   }
 }
 
-// A replica starts at once where its image is cached: on free capacity, or on what preemption
-// frees. The rest goes where the image must be fetched.
+// Machines with a cached image are tried first, since a replica starts there at once: with free
+// capacity or, if a fetch takes long, with capacity freed by preemption. The other replicas are
+// placed on machines that must fetch the image.
 void Placer::PlaceService(JobIndex job_index) {
   const Job& job = (*job_store_)[job_index];
   PlaceTasks(job_index, true, kAllTasks);
   if (job.waiting_tasks.empty()) return;
-  size_t being_freed = 0;
+  size_t tasks_covered = 0;
   if (FetchSeconds(job) > tuning_->long_fetch_s) {
-    // The next pass comes far sooner than any fetch would end.
+    // Waiting for the next pass takes much less time than a fetch.
     if (preemptor_.Exhausted()) {
       fleet_->placement_needed = true;
       return;
     }
-    Preemptor::RoomRequest at_image;
-    at_image.job = job_index;
-    at_image.max_places = job.waiting_tasks.size();
-    at_image.cached_image_only = true;
-    at_image.max_loss_per_place = tuning_->preempt_for_image * FetchSeconds(job) * job.spec.cores;
-    being_freed = preemptor_.MakeRoom(at_image);
+    Preemptor::PreemptionRequest at_cached_image;
+    at_cached_image.job = job_index;
+    at_cached_image.max_task_count = job.waiting_tasks.size();
+    at_cached_image.cached_image_only = true;
+    at_cached_image.max_lost_core_seconds =
+        tuning_->preempt_for_image * FetchSeconds(job) * job.spec.cores;
+    tasks_covered = preemptor_.PreemptForTasks(at_cached_image);
   }
-  if (being_freed >= job.waiting_tasks.size()) return;
-  PlaceTasks(job_index, false, job.waiting_tasks.size() - being_freed);
-  if (job.waiting_tasks.size() <= being_freed) return;
-  Preemptor::RoomRequest anywhere;
-  anywhere.job = job_index;
-  anywhere.max_places = job.waiting_tasks.size() - being_freed;
-  preemptor_.MakeRoom(anywhere);
+  if (tasks_covered >= job.waiting_tasks.size()) return;
+  PlaceTasks(job_index, false, job.waiting_tasks.size() - tasks_covered);
+  if (job.waiting_tasks.size() <= tasks_covered) return;
+  Preemptor::PreemptionRequest on_any_machine;
+  on_any_machine.job = job_index;
+  on_any_machine.max_task_count = job.waiting_tasks.size() - tasks_covered;
+  preemptor_.PreemptForTasks(on_any_machine);
 }
 
 void Placer::PreemptForArray(JobIndex job_index) {
   const Job& job = (*job_store_)[job_index];
   if (job.waiting_tasks.empty() || !job.guaranteed) return;
-  // Most tasks end soon by themselves.
+  // Most tasks complete soon without preemption.
   if (clock_->Now() - job.waiting_since < tuning_->preempt_after_s) return;
-  Preemptor::RoomRequest room;
-  room.job = job_index;
-  room.max_places = job.waiting_tasks.size();
-  room.allow_ordinary_machines =
+  Preemptor::PreemptionRequest preemption;
+  preemption.job = job_index;
+  preemption.max_task_count = job.waiting_tasks.size();
+  preemption.allow_ordinary_machines =
       free_capacity_->free_ordinary() + kResourceEpsilon >= HeadroomReserve(job);
-  preemptor_.MakeRoom(room);
+  preemptor_.PreemptForTasks(preemption);
 }
 
 Placer::Backlog Placer::CollectBacklog() const {
@@ -206,10 +209,10 @@
     const Job& job = (*job_store_)[job_index];
     if (job.lifecycle != JobLifecycle::kActive || job.waiting_tasks.empty()) continue;
     if (job.spec.gang) {
-      gang_placer_.Place(job_index, machines_with_room_);
+      gang_placer_.Place(job_index, candidate_machines_);
       continue;
     }
-    // A starved job goes first with one task; the next one waits for its rank again.
+    // A starved job is ranked first for one task; its next task waits for its regular rank.
     const bool starved = ranking_->IsStarved(job, now);
     PlaceTasks(job_index, false, starved ? 1 : kAllTasks);
     if (starved && !ranking_->IsStarved(job, now)) ranking_->Invalidate();
@@ -226,8 +229,8 @@
   gang_placer_.BeginPass();
   Backlog backlog = CollectBacklog();
   if (backlog.empty) return;
-  machines_with_room_ = free_capacity_->MachinesWithRoom(backlog.min_task_cores);
-  free_capacity_->work_units += machines_with_room_.size();
+  candidate_machines_ = free_capacity_->MachinesWithFreeCores(backlog.min_task_cores);
+  free_capacity_->work_units += candidate_machines_.size();
   PlaceServices(std::move(backlog.services));
   contended_ = backlog.array_cores > free_capacity_->free_ordinary() + free_capacity_->free_spot();
   PlaceArrays(now);
--- a/src/leader/preemption_notice_handler.cc
+++ b/src/leader/preemption_notice_handler.cc
@@ -35,15 +35,15 @@
     return;
   }
   if (job.spec.checkpoint_interval_s > 0) {
-    // At once: the machine may go after half of the announced time.
+    // Stopped at once, since the cloud may reclaim the machine after half of the announced notice.
     fleet_->RequestStop(machine_index, attempt,
                         job.spec.checkpoint_grace_s + kCheckpointMarginSeconds);
     return;
   }
   const double run_seconds =
       attempt->running_since < 0 ? 0 : clock_->Now() - attempt->running_since;
-  const bool is_too_long = ranking_->ExpectedTaskSeconds(job) - run_seconds > seconds_left;
-  if (job.spec.service || is_too_long) fleet_->RequestStop(machine_index, attempt, 0);
+  const bool outlasts_notice = ranking_->ExpectedTaskSeconds(job) - run_seconds > seconds_left;
+  if (job.spec.service || outlasts_notice) fleet_->RequestStop(machine_index, attempt, 0);
 }
 
 }  // namespace deckhall
--- a/src/leader/preemption_notice_handler.h
+++ b/src/leader/preemption_notice_handler.h
@@ -1,9 +1,10 @@
-// Preemption notices of spot machines: what to do with the tasks there before the cloud takes the
-// machine away.
+// Handles preemption notices of spot machines: decides which tasks to stop before the cloud
+// reclaims the machine.
 //
-// A task that can checkpoint is stopped with time for that; one that can't finish in the time left
-// is stopped at once, so that it starts elsewhere; the rest run on. Gangs are decided as a whole by
-// GangSupervisor. Owned by Leader. PROTOCOL: "Preemption".
+// A task that writes checkpoints is stopped with a grace period to write one. A service, or a task
+// that can't complete in time, is stopped at once, so that it restarts on another machine. Other
+// tasks keep running. GangSupervisor decides for a gang as a whole. Owned by Leader. PROTOCOL:
+// "Preemption".
 #pragma once
 
 #include "fleet/fleet.h"
@@ -17,7 +18,7 @@
   PreemptionNoticeHandler(const JobStore* job_store, Fleet* fleet, GangSupervisor* gang_supervisor,
                           const Ranking* ranking, const Clock* clock);
 
-  // Handles the notice of the machine if it has one; called repeatedly until the machine is gone.
+  // Handles the machine's notice, if any. Called repeatedly until the machine is gone.
   void HandlePreemptionNotice(MachineIndex machine_index);
 
  private:
--- a/src/leader/preemptor.cc
+++ b/src/leader/preemptor.cc
@@ -7,13 +7,13 @@
 namespace deckhall {
 namespace {
 
-// Bounds on the work of one pass. When the leases of a partitioned zone expire, many services need
-// room at once.
+// Limits on the work of one pass. When the leases of a partitioned zone expire, many services need
+// capacity at once.
 constexpr int kMaxJobs = 24;
 constexpr int kMaxArrays = 4;
-constexpr size_t kMaxPlaces = 32;
+constexpr size_t kMaxTasksPerJob = 32;
 constexpr uint32_t kFailingJobFailures = 3;
-// A task that writes its checkpoint within this time is given it, and a margin.
+// A task that can checkpoint within this time gets that time plus a margin before it is killed.
 constexpr double kShortCheckpointSeconds = 5;
 constexpr double kCheckpointMarginSeconds = 1;
 constexpr double kMinTaskCores = 1e-3;
@@ -44,8 +44,8 @@
   }
   const Job& other = (*job_store_)[attempt.job];
   if (other.spec.gang) return false;
-  // A starved job got this place by aging: preempted by the jobs that starved it, it would never
-  // end.
+  // An attempt that was placed by aging would never complete if the jobs that had starved it could
+  // preempt it.
   if (attempt.placed_by_aging && !job.spec.service) return false;
   const Team* other_team = free_capacity_->TeamOf(other.team);
   const bool lower_priority = other.spec.priority < job.spec.priority;
@@ -53,40 +53,41 @@
       job.guaranteed && !other.guaranteed && other.team != job.team && other_team != nullptr &&
       free_capacity_->UsageOf(other.team).cores > other_team->cores + kResourceEpsilon;
   if (!lower_priority && !beyond_guarantee) return false;
-  // A better-ranked job would take the freed room again.
+  // The capacity freed from a better-ranked job would go back to that job.
   return job.spec.service || other.rank >= job.rank;
 }
 
-double Preemptor::LostWork(const Job& job, const TaskAttempt& attempt, double now) {
-  // A fetch that is given up is lost like a run.
+double Preemptor::LostCoreSeconds(const Job& job, const TaskAttempt& attempt, double now) {
+  // An aborted image fetch counts as lost work too.
   const double started_at = attempt.running_since < 0 ? attempt.launched_at : attempt.running_since;
-  const double ran = now - started_at;
-  const double lost =
-      job.spec.checkpoint_interval_s > 0 ? std::min(ran, job.spec.checkpoint_interval_s / 2) : ran;
+  const double run_s = now - started_at;
+  const double lost = job.spec.checkpoint_interval_s > 0
+                          ? std::min(run_s, job.spec.checkpoint_interval_s / 2)
+                          : run_s;
   return attempt.cores * lost;
 }
 
-double Preemptor::ChooseAttempts(const Job& job, const Machine& machine, MachineCapacity* capacity,
-                                 std::vector<size_t>* chosen) const {
+double Preemptor::ChooseVictims(const Job& job, const Machine& machine, MachineCapacity* capacity,
+                                std::vector<size_t>* chosen) const {
   const double now = clock_->Now();
-  std::vector<std::pair<double, size_t>> victims;  // lost work, position
+  std::vector<std::pair<double, size_t>> candidates;  // lost core-seconds, position
   for (size_t i = 0; i < machine.attempts.size(); ++i) {
     const TaskAttempt& attempt = machine.attempts[i];
     if (!MayStop(job, attempt)) continue;
     if (std::find(chosen->begin(), chosen->end(), i) != chosen->end()) continue;
-    victims.emplace_back(LostWork((*job_store_)[attempt.job], attempt, now), i);
+    candidates.emplace_back(LostCoreSeconds((*job_store_)[attempt.job], attempt, now), i);
   }
-  std::sort(victims.begin(), victims.end());
+  std::sort(candidates.begin(), candidates.end());
   ResourceRequest request;
   request += TaskResources(job);
-  double loss = 0;
-  for (const auto& [lost_work, position] : victims) {
+  double lost_core_seconds = 0;
+  for (const auto& [attempt_loss, position] : candidates) {
     if (Fits(request, *capacity)) break;
     *capacity += AttemptResources(machine.attempts[position]);
-    loss += lost_work;
+    lost_core_seconds += attempt_loss;
     chosen->push_back(position);
   }
-  return Fits(request, *capacity) ? loss : -1;
+  return Fits(request, *capacity) ? lost_core_seconds : -1;
 }
 
 MachineCapacity Preemptor::FutureCapacity(MachineIndex machine_index) const {
@@ -109,20 +110,20 @@
   claimed_[machine_index] += request;
 }
 
-bool Preemptor::IsWithinBudgets(const Job& job, const std::vector<Choice>& choices) const {
+bool Preemptor::IsWithinBudgets(const Job& job, const std::vector<VictimSet>& victim_sets) const {
   if (job.guaranteed || !ledger_->active()) return true;
   std::vector<JobIndex> tasks;
-  for (const Choice& choice : choices) {
-    for (size_t position : choice.attempts) {
-      tasks.push_back((*fleet_)[choice.machine].attempts[position].job);
+  for (const VictimSet& victim_set : victim_sets) {
+    for (size_t position : victim_set.attempts) {
+      tasks.push_back((*fleet_)[victim_set.machine].attempts[position].job);
     }
   }
   return !ledger_->BlockedFromStopping(tasks);
 }
 
-void Preemptor::Stop(const Job& job, const Choice& choice) {
-  Machine& machine = (*fleet_)[choice.machine];
-  for (size_t position : choice.attempts) {
+void Preemptor::Stop(const Job& job, const VictimSet& victim_set) {
+  Machine& machine = (*fleet_)[victim_set.machine];
+  for (size_t position : victim_set.attempts) {
     TaskAttempt& attempt = machine.attempts[position];
     const JobSpec& spec = (*job_store_)[attempt.job].spec;
     spdlog::info("task={} machine={} preempted_by={}: preempted ({})", attempt.task_name,
@@ -131,37 +132,37 @@
         spec.checkpoint_interval_s > 0 && spec.checkpoint_grace_s <= kShortCheckpointSeconds;
     const double grace_period_s =
         checkpoints ? spec.checkpoint_grace_s + kCheckpointMarginSeconds : 0;
-    fleet_->RequestStop(choice.machine, &attempt, grace_period_s);
+    fleet_->RequestStop(victim_set.machine, &attempt, grace_period_s);
   }
 }
 
-bool Preemptor::IsCandidate(const Job& job, const ResourceRequest& request, const RoomRequest& room,
-                            MachineIndex machine_index) const {
+bool Preemptor::IsCandidate(const Job& job, const ResourceRequest& request,
+                            const PreemptionRequest& preemption, MachineIndex machine_index) const {
   const MachineCapacity& capacity = free_capacity_->capacities()[machine_index];
   if (!capacity.usable ||
       !SatisfiesConstraints(request, capacity.type, capacity.zone, capacity.spot)) {
     return false;
   }
-  if (!room.allow_ordinary_machines && !capacity.spot) return false;
+  if (!preemption.allow_ordinary_machines && !capacity.spot) return false;
   ++free_capacity_->work_units;
-  return !room.cached_image_only || HasImage(job, (*fleet_)[machine_index]);
+  return !preemption.cached_image_only || HasImage(job, (*fleet_)[machine_index]);
 }
 
-size_t Preemptor::MakeRoom(const RoomRequest& room) {
-  const Job& job = (*job_store_)[room.job];
+size_t Preemptor::PreemptForTasks(const PreemptionRequest& preemption) {
+  const Job& job = (*job_store_)[preemption.job];
   if (!MayPreempt(job)) return 0;
   const std::optional<ZoneMask> zones = free_capacity_->AllowedZones(job, job.machines);
   if (!zones) return 0;
   const ResourceRequest request = free_capacity_->RequestFor(job, *zones, job.machines);
-  const double quota_places = std::max(
+  const double quota_tasks = std::max(
       0.0, free_capacity_->TeamQuotaLeft(job.team) / std::max(job.spec.cores, kMinTaskCores));
-  const size_t wanted = std::min(
-      {job.waiting_tasks.size(), kMaxPlaces, room.max_places, static_cast<size_t>(quota_places)});
+  const size_t wanted = std::min({job.waiting_tasks.size(), kMaxTasksPerJob,
+                                  preemption.max_task_count, static_cast<size_t>(quota_tasks)});
   size_t missing = wanted;
-  std::vector<Choice> choices;
+  std::vector<VictimSet> victim_sets;
   for (MachineIndex machine_index : fleet_->active()) {
     if (missing == 0) return wanted;
-    if (!IsCandidate(job, request, room, machine_index)) continue;
+    if (!IsCandidate(job, request, preemption, machine_index)) continue;
     const Machine& machine = (*fleet_)[machine_index];
     const double claimable_cores =
         machine.preemptible_cores + free_capacity_->capacities()[machine_index].cores;
@@ -172,85 +173,94 @@
       --missing;
       continue;
     }
-    Choice choice;
-    choice.machine = machine_index;
-    choice.loss = ChooseAttempts(job, machine, &capacity, &choice.attempts);
-    if (choice.loss >= 0 && choice.loss <= room.max_loss_per_place) {
-      choices.push_back(std::move(choice));
+    VictimSet victim_set;
+    victim_set.machine = machine_index;
+    victim_set.lost_core_seconds = ChooseVictims(job, machine, &capacity, &victim_set.attempts);
+    if (victim_set.lost_core_seconds >= 0 &&
+        victim_set.lost_core_seconds <= preemption.max_lost_core_seconds) {
+      victim_sets.push_back(std::move(victim_set));
     }
   }
-  std::stable_sort(choices.begin(), choices.end(),
-                   [](const Choice& a, const Choice& b) { return a.loss < b.loss; });
-  for (const Choice& choice : choices) {
+  std::stable_sort(victim_sets.begin(), victim_sets.end(),
+                   [](const VictimSet& a, const VictimSet& b) {
+                     return a.lost_core_seconds < b.lost_core_seconds;
+                   });
+  for (const VictimSet& victim_set : victim_sets) {
     if (missing == 0) break;
-    if (!IsWithinBudgets(job, {choice})) continue;
+    if (!IsWithinBudgets(job, {victim_set})) continue;
     --missing;
-    Claim(choice.machine, request);
-    Stop(job, choice);
+    Claim(victim_set.machine, request);
+    Stop(job, victim_set);
   }
   return wanted - missing;
 }
 
-void Preemptor::AddChoices(const Job& job, const ResourceRequest& request,
-                           MachineIndex machine_index, std::vector<Choice>* choices) const {
+void Preemptor::AddVictimSets(const Job& job, const ResourceRequest& request,
+                              MachineIndex machine_index,
+                              std::vector<VictimSet>* victim_sets) const {
   const Machine& machine = (*fleet_)[machine_index];
   MachineCapacity capacity = FutureCapacity(machine_index);
   std::vector<size_t> chosen;
-  for (size_t place = 0; place < job.waiting_tasks.size(); ++place) {
+  for (size_t task = 0; task < job.waiting_tasks.size(); ++task) {
     const size_t chosen_before = chosen.size();
-    const double loss = ChooseAttempts(job, machine, &capacity, &chosen);
-    if (loss < 0) return;
-    Choice choice;
-    choice.loss = loss;
-    choice.machine = machine_index;
-    choice.attempts.assign(chosen.begin() + static_cast<ptrdiff_t>(chosen_before), chosen.end());
-    choices->push_back(std::move(choice));
+    const double lost_core_seconds = ChooseVictims(job, machine, &capacity, &chosen);
+    if (lost_core_seconds < 0) return;
+    VictimSet victim_set;
+    victim_set.lost_core_seconds = lost_core_seconds;
+    victim_set.machine = machine_index;
+    victim_set.attempts.assign(chosen.begin() + static_cast<ptrdiff_t>(chosen_before),
+                               chosen.end());
+    victim_sets->push_back(std::move(victim_set));
     capacity -= request;
   }
 }
 
-std::vector<Preemptor::Choice> Preemptor::ChooseGangRoom(const Job& job, const RoomRequest& room,
-                                                         const ZoneMask& zones) const {
+std::vector<Preemptor::VictimSet> Preemptor::ChooseGangVictims(const Job& job,
+                                                               const PreemptionRequest& preemption,
+                                                               const ZoneMask& zones) const {
   const ResourceRequest request = free_capacity_->RequestFor(job, zones, {});
   const size_t task_count = job.waiting_tasks.size();
-  RoomRequest on_any_kind = room;
-  on_any_kind.allow_ordinary_machines = true;
-  std::vector<Choice> choices;
+  PreemptionRequest with_ordinary_machines = preemption;
+  with_ordinary_machines.allow_ordinary_machines = true;
+  std::vector<VictimSet> victim_sets;
   for (MachineIndex machine_index : fleet_->active()) {
-    if (!IsCandidate(job, request, on_any_kind, machine_index)) continue;
-    AddChoices(job, request, machine_index, &choices);
+    if (!IsCandidate(job, request, with_ordinary_machines, machine_index)) continue;
+    AddVictimSets(job, request, machine_index, &victim_sets);
   }
-  if (choices.size() < task_count) return {};
-  std::stable_sort(choices.begin(), choices.end(),
-                   [](const Choice& a, const Choice& b) { return a.loss < b.loss; });
-  choices.resize(task_count);
-  if (choices.back().loss > room.max_loss_per_place) return {};
-  if (!IsWithinBudgets(job, choices)) return {};
-  return choices;
+  if (victim_sets.size() < task_count) return {};
+  std::stable_sort(victim_sets.begin(), victim_sets.end(),
+                   [](const VictimSet& a, const VictimSet& b) {
+                     return a.lost_core_seconds < b.lost_core_seconds;
+                   });
+  victim_sets.resize(task_count);
+  if (victim_sets.back().lost_core_seconds > preemption.max_lost_core_seconds) return {};
+  if (!IsWithinBudgets(job, victim_sets)) return {};
+  return victim_sets;
 }
 
-std::vector<MachineIndex> Preemptor::MakeGangRoom(const RoomRequest& room,
-                                                  const std::vector<ZoneMask>& zone_masks) {
-  const Job& job = (*job_store_)[room.job];
-  if (job.waiting_tasks.size() > kMaxPlaces || !MayPreempt(job)) return {};
-  std::vector<Choice> best;
-  double least_loss = 0;
+std::vector<MachineIndex> Preemptor::PreemptForGang(const PreemptionRequest& preemption,
+                                                    const std::vector<ZoneMask>& zone_masks) {
+  const Job& job = (*job_store_)[preemption.job];
+  if (job.waiting_tasks.size() > kMaxTasksPerJob || !MayPreempt(job)) return {};
+  std::vector<VictimSet> best;
+  double min_lost_core_seconds = 0;
   for (const ZoneMask& zones : zone_masks) {
-    std::vector<Choice> choices = ChooseGangRoom(job, room, zones);
-    if (choices.empty()) continue;
-    double loss = 0;
-    for (const Choice& choice : choices) loss += choice.loss;
-    if (best.empty() || loss < least_loss) {
-      best = std::move(choices);
-      least_loss = loss;
+    std::vector<VictimSet> victim_sets = ChooseGangVictims(job, preemption, zones);
+    if (victim_sets.empty()) continue;
+    double lost_core_seconds = 0;
+    for (const VictimSet& victim_set : victim_sets)
+      lost_core_seconds += victim_set.lost_core_seconds;
+    if (best.empty() || lost_core_seconds < min_lost_core_seconds) {
+      best = std::move(victim_sets);
+      min_lost_core_seconds = lost_core_seconds;
     }
   }
   std::vector<MachineIndex> machines;
   const ResourceRequest request = free_capacity_->RequestFor(job, {}, {});
-  for (const Choice& choice : best) {
-    Claim(choice.machine, request);
-    Stop(job, choice);
-    machines.push_back(choice.machine);
+  for (const VictimSet& victim_set : best) {
+    Claim(victim_set.machine, request);
+    Stop(job, victim_set);
+    machines.push_back(victim_set.machine);
   }
   return machines;
 }
--- a/src/leader/progress_saver.cc
+++ b/src/leader/progress_saver.cc
@@ -5,9 +5,9 @@
 namespace deckhall {
 namespace {
 
-// Hints are saved so much less often than the remaining work.
+// Interval between saves of the hints, in intervals between saves of the remaining work.
 constexpr double kHintsIntervalFactor = 3;
-// A smaller change of a job's remaining work is not worth a write.
+// Smaller changes of a job's remaining work are not written.
 constexpr double kMinRelativeChange = 0.1;
 constexpr double kMinChangeCoreSeconds = 1;
 
--- a/src/leader/progress_saver.h
+++ b/src/leader/progress_saver.h
@@ -1,8 +1,8 @@
-// Periodic saving of what a later leader would rather not estimate anew.
+// Periodically saves estimates that a later leader would otherwise have to recompute.
 //
-// Saves the remaining work of jobs, by which they are ranked, and, less often, hints on which
-// images machines have cached. Nothing depends on these for safety: writes have background
-// priority and may be lost. Owned by Leader.
+// Saves the remaining work of jobs, which determines their ranks, and, less often, hints on which
+// images the machines have cached. Correctness doesn't depend on this data, so its writes have
+// background priority and may be lost. Owned by Leader.
 #pragma once
 
 #include "config/tuning.h"
@@ -16,9 +16,10 @@
   ProgressSaver(JobStore* job_store, CacheHints* cache_hints, const Tuning* tuning)
       : job_store_(job_store), cache_hints_(cache_hints), tuning_(tuning) {}
 
-  // The records were loaded at this steady time, in seconds: saving starts an interval later.
+  // Called when the records were loaded, at steady time `now` in seconds. The first save is due one
+  // interval later.
   void Start(double now);
-  // Saves what is due at this steady time.
+  // Saves the data that is due at steady time `now`.
   void SaveIfDue(double now);
 
  private:
--- a/src/leader/ranking.cc
+++ b/src/leader/ranking.cc
@@ -8,17 +8,17 @@
 namespace deckhall {
 namespace {
 
-// Run times outside this range of the estimate are taken as its end.
+// The ratio of actual to estimated run time is clamped to this range.
 constexpr double kMinRuntimeRatio = 0.05;
 constexpr double kMaxRuntimeRatio = 20;
-// Older tasks fade once a class has completed so many.
+// Cap on the task count of the mean, beyond which the influence of older tasks decays.
 constexpr double kMaxClassWeight = 200;
-// The user's estimate counts like so many completed tasks.
+// The user's estimate has the weight of this many completed tasks.
 constexpr double kEstimateWeight = 10;
 constexpr double kMinTaskSeconds = 1;
 constexpr double kMinTaskCores = 0.1;
 constexpr double kMinRemainingCoreSeconds = 1e-3;
-// A class that takes this much longer than estimated has wrong estimates.
+// If tasks take longer than estimated by more than this factor, the estimate is taken as wrong.
 constexpr double kUnderestimatedRatio = 1.2;
 constexpr double kCorrectedWorkShare = 0.5;
 
@@ -56,7 +56,8 @@
                   kMinRemainingCoreSeconds);
 }
 
-// A job is guaranteed while it and its team's earlier unfinished jobs fit into the guarantee.
+// A job is guaranteed while it and its team's earlier unfinished jobs fit into the team's
+// guarantee.
 void Ranking::MarkGuaranteedJobs() {
   std::vector<JobIndex> order = job_store_->active_jobs();
   std::sort(order.begin(), order.end(), [this](JobIndex a, JobIndex b) {
@@ -80,8 +81,9 @@
   return !job.waiting_tasks.empty() && now - job.starved_since > tuning_->starvation_s;
 }
 
-// The virtual schedule has completed a job that really goes on. Unless it was only kept waiting,
-// its estimate was too low: without a correction it would hold the first rank for good.
+// Corrects the remaining work of a job that has completed in the virtual schedule but not in
+// reality. Otherwise a job with too low an estimate would keep the first rank until it ends. A job
+// that was only kept waiting is not corrected.
 void Ranking::CorrectExhaustedEstimate(Job* job) const {
   if (job->remaining_core_seconds > 0 || job->tasks_done == 0) return;
   const double estimated = job->spec.estimated_runtime_s * job->spec.cores;
@@ -105,16 +107,16 @@
     CorrectExhaustedEstimate(&job);
     const auto unfinished = static_cast<double>(job.tasks.size() - job.tasks_done);
     FspJob entry;
-    entry.remaining = job.remaining_core_seconds;
+    entry.remaining_core_seconds = job.remaining_core_seconds;
     entry.weight = WeightOf(job);
-    entry.cap = std::max(kMinTaskCores, unfinished * job.spec.cores);
+    entry.max_cores = std::max(kMinTaskCores, unfinished * job.spec.cores);
     schedule.push_back(entry);
   }
   if (ranked_at_ >= 0) FspAdvance(&schedule, free_capacity_->total_cores(), now - ranked_at_);
   const std::vector<double> finish = FspFinish(schedule, free_capacity_->total_cores());
   for (size_t i = 0; i < arrays.size(); ++i) {
     Job& job = (*job_store_)[arrays[i]];
-    job.remaining_core_seconds = schedule[i].remaining;
+    job.remaining_core_seconds = schedule[i].remaining_core_seconds;
     job.virtual_finish_time = finish[i];
   }
 }
--- a/src/sched/placement.cc
+++ b/src/sched/placement.cc
@@ -7,21 +7,21 @@
 namespace deckhall {
 namespace {
 
-// Weights, in seconds of delay that are accepted to avoid the choice.
+// Penalties, as the start delay in seconds that is acceptable to avoid such a machine.
 constexpr double kFailedMachineCostSeconds = 1000;
-constexpr double kSiblingCostSeconds = 3;          // for each replica that is there already
-constexpr double kOrdinaryMachineCostSeconds = 4;  // of a spot-tolerant task
-constexpr double kFreeShareCostSeconds = 0.5;      // of a machine that stays wholly free
+constexpr double kSiblingCostSeconds = 3;          // for each replica already on the machine
+constexpr double kOrdinaryMachineCostSeconds = 4;  // for a spot-tolerant task
+constexpr double kFreeShareCostSeconds = 0.5;      // times the share of cores that would stay free
 
 constexpr double kMinFetchGbPerSecond = 1e-3;
-// What is left on average of a fetch that is under way.
-constexpr double kFetchUnderWayShare = 0.5;
+// Average share of a fetch in progress that is still left.
+constexpr double kFetchInProgressShare = 0.5;
 
 bool Contains(const std::vector<uint32_t>* list, uint32_t value) {
   return list != nullptr && std::find(list->begin(), list->end(), value) != list->end();
 }
 
-// Different images other than `image` that the machine is fetching.
+// Number of distinct images, apart from `image`, that the machine is fetching.
 int CountOtherFetches(const MachineCapacity& capacity, uint32_t image) {
   const std::vector<uint32_t>& fetching = capacity.fetching_images;
   int others = 0;
@@ -33,17 +33,18 @@
   return others;
 }
 
-// Seconds to fetch the image there, as if it were not cached.
+// Seconds to fetch the image on the machine if it is not cached.
 double FetchSeconds(const ResourceRequest& request, const MachineCapacity& capacity,
                     bool fetching) {
   double seconds = request.image_gb / std::max(capacity.fetch_gb_per_s, kMinFetchGbPerSecond) *
-                   (fetching && !request.service ? kFetchUnderWayShare : 1.0);
+                   (fetching && !request.service ? kFetchInProgressShare : 1.0);
   // Concurrent fetches share the machine's rate.
   if (request.service || request.gang) seconds *= 1 + CountOtherFetches(capacity, request.image);
   return seconds;
 }
 
-// Cost of a machine that satisfies the constraints; none if its cache rules it out.
+// Cost of a machine that satisfies the constraints; no value if the request requires an image that
+// the machine lacks.
 std::optional<double> PlacementCost(const ResourceRequest& request,
                                     const MachineCapacity& capacity) {
   const bool cached = Contains(capacity.cached_images, request.image);
@@ -51,11 +52,12 @@
   if (request.cached_or_fetching_only && !cached && !fetching) return std::nullopt;
   if (request.cached_only && !cached) return std::nullopt;
   const double fetch_s = FetchSeconds(request, capacity, fetching);
-  // An overdue replica goes where the image is missing: later replicas then start there at once.
+  // An overdue replica prefers a machine without the image: its fetch lets later replicas start
+  // there without a delay.
   double cost = cached == request.overdue ? fetch_s : 0;
   if (Contains(request.failed_machines, capacity.machine)) cost += kFailedMachineCostSeconds;
   if (request.service) {
-    // Anti-affinity: a lost machine then costs the service one replica.
+    // Anti-affinity: the loss of a machine should cost the service only one replica.
     if (request.sibling_machines != nullptr) {
       cost += kSiblingCostSeconds *
               static_cast<double>(std::count(request.sibling_machines->begin(),
@@ -65,8 +67,8 @@
     cost += kOrdinaryMachineCostSeconds;
   }
   const double free_share = (capacity.cores - request.cores) / std::max(capacity.total_cores, 1.0);
-  // Services spread, so that many machines hold their images; arrays pack, which leaves whole
-  // machines free.
+  // Services are spread, so that many machines cache their images. Arrays are packed, which leaves
+  // whole machines free.
   cost +=
       request.service ? -kFreeShareCostSeconds * free_share : kFreeShareCostSeconds * free_share;
   return cost;
--- a/src/sched/resources.h
+++ b/src/sched/resources.h
@@ -3,14 +3,14 @@
 
 namespace deckhall {
 
-// Amounts of what a machine has and a task takes.
+// Resources of a machine, or resources that a task uses.
 struct Resources {
   double cores = 0;
   double gpus = 0;
   double memory_gb = 0;
 };
 
-// Tolerance of comparisons, since sums of decimal amounts are not exact.
+// Tolerance for comparisons, since floating-point sums of decimal amounts are not exact.
 constexpr double kResourceEpsilon = 1e-6;
 
 inline Resources& operator+=(Resources& sum, const Resources& added) {
--- a/src/sched/scale_out_plan.cc
+++ b/src/sched/scale_out_plan.cc
@@ -7,15 +7,16 @@
 namespace deckhall {
 namespace {
 
-// Tolerance of divisions of decimal amounts.
+// Tolerance for quotients of decimal amounts, which are not exact in floating point.
 constexpr double kRatioEpsilon = 1e-9;
 constexpr double kUnboundedTasks = 1e9;
-// A pool that holds all machines counts as this share dearer: zones share the risk.
+// Extra cost, relative to its price, of a pool that holds all machines, and less in proportion for
+// smaller pools. It spreads the risk over zones.
 constexpr double kSpreadCostShare = 0.3;
-// Value of a place that the present demand does not use.
-constexpr double kUnusedPlaceValue = 0.5;
+// Value of a slot that the current demand leaves unused, relative to a used one.
+constexpr double kUnusedSlotValue = 0.5;
 
-// How many such tasks an empty machine takes.
+// Number of such tasks that fit on an empty machine.
 double TasksPerMachine(const InstanceOffering& offering, const ResourceRequest& request) {
   double slots = kUnboundedTasks;
   if (request.cores > 0)
@@ -27,12 +28,14 @@
   return slots;
 }
 
-// The offering with the least price for each place, for `left` more tasks. None: none fits.
+// The offering with the lowest price per slot for `remaining` more tasks; no value if the task fits
+// on none.
 std::optional<size_t> CheapestOffering(const std::vector<InstanceOffering>& offerings,
-                                       const std::vector<int>& added,
-                                       const ResourceRequest& request, uint32_t left) {
-  int all = 1;
-  for (size_t i = 0; i < offerings.size(); ++i) all += offerings[i].existing_machines + added[i];
+                                       const std::vector<int>& new_machines,
+                                       const ResourceRequest& request, uint32_t remaining) {
+  int total_machines = 1;
+  for (size_t i = 0; i < offerings.size(); ++i)
+    total_machines += offerings[i].existing_machines + new_machines[i];
   std::optional<size_t> best;
   double best_cost = 0;
   for (size_t i = 0; i < offerings.size(); ++i) {
@@ -42,10 +45,10 @@
       continue;
     const double slots = TasksPerMachine(offering, request);
     if (slots < 1) continue;
-    const double used = std::min<double>(slots, left);
-    double cost = offering.price / (used + kUnusedPlaceValue * (slots - used));
-    // By share, not by number: a large fleet is no reason to pay more.
-    cost *= 1 + kSpreadCostShare * (offering.existing_machines + added[i]) / all;
+    const double used = std::min<double>(slots, remaining);
+    double cost = offering.hourly_price / (used + kUnusedSlotValue * (slots - used));
+    // By share, not by number, so that the extra cost does not grow with the fleet.
+    cost *= 1 + kSpreadCostShare * (offering.existing_machines + new_machines[i]) / total_machines;
     if (!best || cost < best_cost) {
       best = i;
       best_cost = cost;
@@ -54,42 +57,42 @@
   return best;
 }
 
-// The plan as it is being made.
+// A plan under construction.
 struct ScaleOutDraft {
   const std::vector<InstanceOffering>* offerings;
   std::vector<MachineCapacity> bins;
-  std::vector<int> added;  // by offering
-  int total = 0;
+  std::vector<int> new_machines;  // by offering
+  int total_new_machines = 0;
   int max_machines = 0;
 };
 
-void PackDemand(const ResourceRequest& request, uint32_t left, ScaleOutDraft* draft) {
+void PackDemand(const ResourceRequest& request, uint32_t remaining, ScaleOutDraft* draft) {
   // First fit.
   for (MachineCapacity& bin : draft->bins) {
-    if (left == 0) break;
+    if (remaining == 0) break;
     if (!bin.usable || !SatisfiesConstraints(request, bin.type, bin.zone, bin.spot)) continue;
-    while (left > 0 && Fits(request, bin)) {
+    while (remaining > 0 && Fits(request, bin)) {
       bin -= request;
-      --left;
+      --remaining;
     }
   }
-  while (left > 0 && draft->total < draft->max_machines) {
+  while (remaining > 0 && draft->total_new_machines < draft->max_machines) {
     const std::optional<size_t> cheapest =
-        CheapestOffering(*draft->offerings, draft->added, request, left);
+        CheapestOffering(*draft->offerings, draft->new_machines, request, remaining);
     if (!cheapest) break;
     const InstanceOffering& offering = (*draft->offerings)[*cheapest];
-    ++draft->added[*cheapest];
-    ++draft->total;
+    ++draft->new_machines[*cheapest];
+    ++draft->total_new_machines;
     MachineCapacity capacity = EmptyMachine(offering);
-    while (left > 0 && Fits(request, capacity)) {
+    while (remaining > 0 && Fits(request, capacity)) {
       capacity -= request;
-      --left;
+      --remaining;
     }
     draft->bins.push_back(capacity);
   }
 }
 
-// The zone in which most of the tasks find room; of equal ones the first with an offering.
+// The zone in which most of the tasks fit; on a tie, the one whose offering comes first.
 uint32_t ChooseZone(const ResourceRequest& request, uint32_t count, const ScaleOutDraft& draft) {
   std::vector<uint32_t> zones;
   for (const InstanceOffering& offering : *draft.offerings) {
@@ -101,21 +104,23 @@
     }
   }
   uint32_t best = request.required_zone;
-  uint32_t most = 0;
+  uint32_t max_free_slots = 0;
   for (const uint32_t zone : zones) {
-    ResourceRequest there = request;
-    there.required_zone = zone;
-    uint32_t places = 0;
+    ResourceRequest zone_request = request;
+    zone_request.required_zone = zone;
+    uint32_t free_slots = 0;
     for (const MachineCapacity& bin : draft.bins) {
-      if (places >= count) break;
-      if (!bin.usable || !SatisfiesConstraints(there, bin.type, bin.zone, bin.spot)) continue;
-      for (MachineCapacity left = bin; places < count && Fits(request, left); ++places) {
-        left -= request;
+      if (free_slots >= count) break;
+      if (!bin.usable || !SatisfiesConstraints(zone_request, bin.type, bin.zone, bin.spot))
+        continue;
+      for (MachineCapacity capacity = bin; free_slots < count && Fits(request, capacity);
+           ++free_slots) {
+        capacity -= request;
       }
     }
-    if (best != UINT32_MAX && places <= most) continue;
+    if (best != UINT32_MAX && free_slots <= max_free_slots) continue;
     best = zone;
-    most = places;
+    max_free_slots = free_slots;
   }
   return best;
 }
@@ -146,7 +151,8 @@
   }
   std::vector<ScaleOutDecision> decisions;
   for (size_t i = 0; i < offerings.size(); ++i) {
-    if (draft.added[i] > 0) decisions.push_back({static_cast<uint32_t>(i), draft.added[i]});
+    if (draft.new_machines[i] > 0)
+      decisions.push_back({static_cast<uint32_t>(i), draft.new_machines[i]});
   }
   return decisions;
 }
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -15,10 +15,10 @@
 TEST(Fsp, OrdersJobsAsProcessorSharingCompletesThem) {
   std::vector<FspJob> jobs = {{30, 1, 1}};
   FspAdvance(&jobs, 1, 10);
-  EXPECT_NEAR(jobs[0].remaining, 20, 1e-6);
+  EXPECT_NEAR(jobs[0].remaining_core_seconds, 20, 1e-6);
   jobs.push_back({10, 1, 1});
   FspAdvance(&jobs, 1, 5);
-  EXPECT_NEAR(jobs[0].remaining, 17.5, 1e-6);
+  EXPECT_NEAR(jobs[0].remaining_core_seconds, 17.5, 1e-6);
   jobs.push_back({10, 1, 1});
   const auto finish = FspFinish(jobs, 1);
   EXPECT_LT(finish[1], finish[2]);
