--- a/src/drain/eviction_steps.cc
+++ b/src/drain/eviction_steps.cc
@@ -32,12 +32,12 @@
 void EvictionController::ReserveReplacementCapacity(Eviction* eviction,
                                                     MachineIndex machine_index) {
   eviction->replacement_machine = machine_index;
-  free_capacity_->ReserveRoom(machine_index, (*job_store_)[eviction->job]);
+  free_capacity_->ReserveResources(machine_index, (*job_store_)[eviction->job]);
 }
 
 void EvictionController::ReleaseReplacementCapacity(Eviction* eviction) {
   if (eviction->replacement_machine == kNoIndex) return;
-  free_capacity_->ReleaseRoom(eviction->replacement_machine, (*job_store_)[eviction->job]);
+  free_capacity_->ReleaseReservation(eviction->replacement_machine, (*job_store_)[eviction->job]);
   eviction->replacement_machine = kNoIndex;
   fleet_->placement_needed = true;
 }
--- a/src/drain/replacement_finder.cc
+++ b/src/drain/replacement_finder.cc
@@ -20,7 +20,7 @@
     return;
   candidates_refreshed_at_ = now;
   candidates_ = Roaring();
-  for (uint32_t m : free_capacity_->MachinesWithRoom(kMinFreeCores)) candidates_.add(m);
+  for (uint32_t m : free_capacity_->MachinesWithFreeCores(kMinFreeCores)) candidates_.add(m);
 }
 
 std::vector<uint32_t> ReplacementFinder::NextCandidates() {
