--- a/src/fleet/attempt_reconciler.cc
+++ b/src/fleet/attempt_reconciler.cc
@@ -21,15 +21,16 @@
   return nullptr;
 }
 
-// Whether the image of the task is taken to be cached. This includes, wrongly, a task that was
-// stopped while its image was fetched (see the ROADMAP).
+// Whether the image of the task is assumed to be cached. This is wrong for a task that was stopped
+// while its image was being fetched (see the ROADMAP).
 bool HasFetchedImage(const TaskStatus& status) {
   return status.state != TaskState::kFetching && status.exit_reason != ExitReason::kNoRoom &&
          status.exit_reason != ExitReason::kInUse && status.exit_reason != ExitReason::kUnknown;
 }
 
-// Puts `image` last, as the latest one used; the first one is dropped when there are too many.
-void RememberImage(Machine& machine, uint32_t image) {
+// Moves `image` to the end, as the most recently used one, and drops the least recently used one
+// when there are too many.
+void RecordCachedImage(Machine& machine, uint32_t image) {
   if (image == kNoIndex) return;
   std::vector<uint32_t>& images = machine.cached_images;
   auto entry = std::find(images.begin(), images.end(), image);
@@ -51,7 +52,7 @@
 
 void AttemptReconciler::Reconcile(MachineIndex machine_index, const Heartbeat& heartbeat) {
   Machine& machine = (*machines_)[machine_index];
-  // Adopted attempts are appended, so the positions of those tracked so far stay valid.
+  // Adopted attempts are appended, so the positions of the attempts tracked so far stay valid.
   const size_t tracked = machine.attempts.size();
   std::vector<char> listed(tracked, 0);
   for (const TaskStatus& status : heartbeat.tasks) {
@@ -81,7 +82,7 @@
   const bool may_still_launch =
       attempt.launch_fencing_token != 0 && attempt.launch_fencing_token >= heartbeat.fencing_token;
   if (may_still_launch) return;
-  // Never sent, or fenced off by the higher token the agent has seen.
+  // The launch was never sent, or is fenced off by the higher token the agent has seen.
   attempt.launch_fencing_token = 0;
   if (attempt.wanted) {
     machines_->MarkChanged(machine_index);
@@ -93,8 +94,9 @@
 void AttemptReconciler::AdoptAttempt(MachineIndex machine_index, const TaskStatus& status) {
   TaskAttempt adopted = MakeAdoptedAttempt(machine_index, status);
   if (!adopted.wanted && status.state != TaskState::kExited) {
-    spdlog::info("machine={} task={} attempt={}: unwanted attempt reported",
-                 (*machines_)[machine_index].name, status.task_name, status.attempt);
+    spdlog::info(
+        "machine={} task={} attempt={}: adopted an attempt that is not needed, stopping it",
+        (*machines_)[machine_index].name, status.task_name, status.attempt);
   }
   ApplyTaskStatus(machine_index, &attempts_->Add(machine_index, std::move(adopted)), status);
 }
@@ -116,11 +118,12 @@
   attempt.job = job_index;
   attempt.task_index = name->task_index;
   const TaskPhase phase = job.tasks[name->task_index].phase;
-  const bool is_open = phase == TaskPhase::kUnreconciled || phase == TaskPhase::kWaiting;
-  attempt.wanted = is_open && job.lifecycle == JobLifecycle::kActive;
-  // An attempt that exited does not stand for its task. If it was successful, the task is done
-  // anyway. If not, a later attempt may run on a machine that is not reconciled yet.
-  if (is_open && status.state != TaskState::kExited) {
+  const bool needs_attempt = phase == TaskPhase::kUnreconciled || phase == TaskPhase::kWaiting;
+  attempt.wanted = needs_attempt && job.lifecycle == JobLifecycle::kActive;
+  // An attempt that exited does not become the current attempt of its task. If it was successful,
+  // the task is done anyway. Otherwise a later attempt may run on a machine that is not reconciled
+  // yet.
+  if (needs_attempt && status.state != TaskState::kExited) {
     job_store_->MarkPlaced(job_index, name->task_index, machine_index, status.attempt);
     job.starved_since = clock_->Now();
   }
@@ -140,7 +143,7 @@
   }
   attempt->state = status.state;
   if (attempt->job != kNoIndex && HasFetchedImage(status))
-    RememberImage(machine, (*job_store_)[attempt->job].image);
+    RecordCachedImage(machine, (*job_store_)[attempt->job].image);
   if (status.state == TaskState::kRunning) attempts_->SetRunning(attempt, true);
   if (status.state != TaskState::kExited) return;
   attempt->exit_reason = status.exit_reason;
--- a/src/fleet/attempt_reconciler.h
+++ b/src/fleet/attempt_reconciler.h
@@ -1,11 +1,11 @@
 // Reconciles the attempts tracked on a machine with those a heartbeat lists.
 //
 // A listed attempt that is tracked gets its observed state; one that is not tracked is adopted,
-// and stopped if its task needs no attempt there. A tracked attempt that is not listed was
-// acknowledged, lost, or has not been launched yet.
+// and stopped if its task does not need it. A tracked attempt that is not listed was acknowledged,
+// lost, or has not been launched yet.
 //
-// Owned by Fleet. Called only for a heartbeat newer than all before, of a machine that is
-// reconciled.
+// Owned by Fleet. Called only for reconciled machines, and only with a heartbeat newer than all
+// applied before.
 #pragma once
 
 #include "fleet/attempt_tracker.h"
@@ -25,12 +25,13 @@
   void Reconcile(MachineIndex machine_index, const Heartbeat& heartbeat);
 
  private:
-  // Takes over an attempt that an earlier leader placed.
+  // Starts tracking an attempt that an earlier leader placed.
   void AdoptAttempt(MachineIndex machine_index, const TaskStatus& status);
-  // The attempt to track for `status`; wanted if its task may still need it.
+  // The attempt to track for `status`; `wanted` is set if its task may still need it.
   TaskAttempt MakeAdoptedAttempt(MachineIndex machine_index, const TaskStatus& status);
   void ApplyTaskStatus(MachineIndex machine_index, TaskAttempt* attempt, const TaskStatus& status);
-  // `position` is that of a tracked attempt the heartbeat does not list.
+  // Handles the tracked attempt at `position` in Machine::attempts, which the heartbeat does not
+  // list.
   void ResolveUnlisted(MachineIndex machine_index, size_t position, const Heartbeat& heartbeat);
 
   JobStore* job_store_;
--- a/src/fleet/attempt_tracker.cc
+++ b/src/fleet/attempt_tracker.cc
@@ -11,7 +11,7 @@
 namespace deckhall {
 namespace {
 
-void TakeResources(Machine& machine, const TaskAttempt& attempt) {
+void AddUsage(Machine& machine, const TaskAttempt& attempt) {
   ++machine.active_attempts;
   machine.used_cores += attempt.cores;
   machine.used_gpus += attempt.gpus;
@@ -20,7 +20,7 @@
   if (attempt.preemptible) machine.preemptible_cores += attempt.cores;
 }
 
-void ReturnResources(Machine& machine, const TaskAttempt& attempt) {
+void SubtractUsage(Machine& machine, const TaskAttempt& attempt) {
   --machine.active_attempts;
   machine.used_cores -= attempt.cores;
   machine.used_gpus -= attempt.gpus;
@@ -44,7 +44,7 @@
       machines_(machines),
       clock_(clock),
       events_(events),
-      next_attempt_number_((term << kTermShift) + 1) {}
+      next_attempt_number_((term << kTermShiftBits) + 1) {}
 
 TaskAttempt* AttemptTracker::Find(MachineIndex machine_index, JobIndex job_index,
                                   uint32_t task_index, uint64_t attempt_number) {
@@ -76,7 +76,7 @@
 TaskAttempt& AttemptTracker::Add(MachineIndex machine_index, TaskAttempt attempt) {
   Machine& machine = (*machines_)[machine_index];
   if (attempt.job != kNoIndex) AssignToJob(machine_index, &attempt);
-  TakeResources(machine, attempt);
+  AddUsage(machine, attempt);
   TaskAttempt& added = machine.attempts.emplace_back(std::move(attempt));
   NotifyReplicaChanged(added);
   machines_->InvalidateMachine(machine_index);
@@ -103,7 +103,7 @@
   if (attempt->released) return;
   attempt->released = true;
   NotifyReplicaChanged(*attempt);
-  ReturnResources((*machines_)[machine_index], *attempt);
+  SubtractUsage((*machines_)[machine_index], *attempt);
   if (attempt->job != kNoIndex) ReleaseFromJob(machine_index, *attempt);
   machines_->InvalidateMachine(machine_index);
 }
@@ -134,9 +134,9 @@
   if (attempt.running_since >= 0 && job.tasks_running > 0) --job.tasks_running;
   if (!job.has_spec) return;
   const Task& task = job.tasks[attempt.task_index];
-  const bool stands_for_task = task.phase == TaskPhase::kPlaced && task.machine == machine_index &&
-                               task.attempt == attempt.number;
-  if (!stands_for_task) return;
+  const bool is_current_attempt = task.phase == TaskPhase::kPlaced &&
+                                  task.machine == machine_index && task.attempt == attempt.number;
+  if (!is_current_attempt) return;
   if (job.waiting_tasks.empty()) job.waiting_since = clock_->Now();
   job_store_->MarkWaiting(attempt.job, attempt.task_index);
 }
@@ -146,7 +146,7 @@
   Erase(machine_index, position);
 }
 
-void AttemptTracker::LoseAll(MachineIndex machine_index, const char* reason) {
+void AttemptTracker::RequeueAndEraseAll(MachineIndex machine_index, const char* reason) {
   Machine& machine = (*machines_)[machine_index];
   size_t lost = 0;
   for (size_t i = machine.attempts.size(); i-- > 0;) {
@@ -184,7 +184,7 @@
     NotifyArrayTaskStopped(*attempt);
   } else {
     if (grace_period_s >= attempt->grace_period_s) return;
-    // The agent learns of the shorter grace period at once.
+    // Sends the shorter grace period to the agent at once.
     attempt->stop_sent_at = kStopNotSentAt;
   }
   attempt->wanted = false;
--- a/src/fleet/attempt_tracker.h
+++ b/src/fleet/attempt_tracker.h
@@ -1,10 +1,11 @@
-// The attempts on machines: their desired state, and the resources they hold.
+// Tracks the attempts on machines: their desired state and the resources they hold.
 //
-// Guarantees: the sums in Machine, the attempt counts of Job, and the usage of each team equal
-// what the attempts that are not released hold. Nothing else adds or erases attempts.
+// Guarantees: the resource sums in Machine and the usage of each team equal the resources held by
+// attempts that are not released, and Job::attempt_count is the number of tracked attempts. No
+// other class adds or erases attempts.
 //
-// Owned by Fleet. References to an attempt are valid until one is added to, or erased from, the
-// same machine.
+// Owned by Fleet. References to an attempt are valid until an attempt is added to, or erased from,
+// the same machine.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +18,7 @@
 
 namespace deckhall {
 
-// What the attempts of a team hold.
+// The resources that the attempts of a team hold.
 struct ResourceUsage {
   double cores = 0;
   double gpus = 0;
@@ -30,46 +31,49 @@
 
   // An attempt number that was never used before, in any term.
   uint64_t NewAttemptNumber() { return next_attempt_number_++; }
-  // The attempt; null if it is not on the machine or was acknowledged.
+  // Null if the attempt is not on the machine or was acknowledged.
   TaskAttempt* Find(MachineIndex machine_index, JobIndex job_index, uint32_t task_index,
                     uint64_t attempt_number);
-  // By team index. Teams without attempts so far may be missing at the end.
+  // By team index. Trailing teams that never had attempts may be missing.
   const std::vector<ResourceUsage>& team_usage() const { return team_usage_; }
 
-  // Places a task; the launch goes out with the next commands.
+  // Places a task; its launch is sent with the next commands.
   void PlaceTask(MachineIndex machine_index, JobIndex job_index, uint32_t task_index,
                  uint64_t attempt_number, bool placed_by_aging);
-  // Adds an attempt and takes its resources, both as its job specifies them.
+  // Adds an attempt, with the resources and scheduling class that its job specifies, and accounts
+  // for these resources.
   TaskAttempt& Add(MachineIndex machine_index, TaskAttempt attempt);
-  // Frees what an attempt holds. Does nothing if it was released already.
+  // Frees the resources an attempt holds. Does nothing if it is already released.
   void ReleaseResources(MachineIndex machine_index, TaskAttempt* attempt);
   // Releases and erases the attempt at this position in Machine::attempts.
   void Erase(MachineIndex machine_index, size_t position);
-  // Makes the task wait for placement again, unless another attempt stands for it by now.
+  // Makes the task wait for placement again, unless another attempt is its current one by now.
   void Requeue(MachineIndex machine_index, const TaskAttempt& attempt);
   void RequeueAndErase(MachineIndex machine_index, size_t position);
-  // The agent lost everything: erases all attempts and requeues those that had not exited.
-  // `reason` is for the log.
-  void LoseAll(MachineIndex machine_index, const char* reason);
+  // For an agent that lost all its tasks: erases all attempts and requeues those that had not
+  // exited. `reason` is for the log.
+  void RequeueAndEraseAll(MachineIndex machine_index, const char* reason);
 
-  // Updates the count of running tasks, and since when the attempt runs.
+  // Updates the number of running tasks of the job, and `running_since` of the attempt.
   void SetRunning(TaskAttempt* attempt, bool now_running);
 
-  // Sets the desired state to stopped. A second request counts only if its grace period is
+  // Sets the desired state to stopped. A repeated request has an effect only if its grace period is
   // shorter.
   void RequestStop(MachineIndex machine_index, TaskAttempt* attempt, double grace_period_s);
   // Stops all attempts of a job, without a grace period.
   void RequestStopOfJob(JobIndex job_index);
-  // The same for those no heartbeat has listed yet, so that they are not launched again.
+  // Stops those attempts of a job that no heartbeat has listed yet, so that they are not launched
+  // again.
   void RequestStopOfUnreported(JobIndex job_index);
 
-  // Tells the observer that the health of the replica may have changed, if it is one.
+  // Notifies the observer, if the attempt is a replica, that its health may have changed.
   void NotifyReplicaChanged(const TaskAttempt& attempt);
 
  private:
-  // Tells the observer that a task of an active array is stopped before its end.
+  // Notifies the observer that a task of an active array is stopped before it is done.
   void NotifyArrayTaskStopped(const TaskAttempt& attempt);
-  // Copies what the job specifies into the attempt, and counts it for job and team.
+  // Copies the job's resources and scheduling class into the attempt, and counts the attempt for
+  // its job and team.
   void AssignToJob(MachineIndex machine_index, TaskAttempt* attempt);
   void ReleaseFromJob(MachineIndex machine_index, const TaskAttempt& attempt);
 
--- a/src/fleet/cache_hints.cc
+++ b/src/fleet/cache_hints.cc
@@ -8,11 +8,11 @@
 
 const char* const kImageNamesKey = "in";
 const char* const kMachinesKey = "ic";
-// Stored for a machine. The images used last are the last ones it evicts.
+// Images stored per machine: the most recently used ones, since a machine evicts these last.
 constexpr size_t kMaxStoredImages = 8;
-// What an image name takes in the record besides its characters, the end of the record included.
+// Space for an image name in the record besides its characters, including the end of the record.
 constexpr size_t kImageNameOverheadBytes = 8;
-// What a machine record takes besides its entries.
+// Space in a machine record besides its entries.
 constexpr size_t kMachineRecordOverheadBytes = 16;
 
 // A machine's entry in its record: its name, then its images.
@@ -48,7 +48,7 @@
 
 void CacheHints::LoadImageNames(const JsonValue& names) {
   for (const auto& name : names.GetArray()) {
-    // An empty name keeps the place, since machines refer to images by position.
+    // An invalid entry becomes an empty name, since machines refer to images by position.
     loaded_image_names_.emplace_back(name.IsString() ? name.GetString() : "");
   }
 }
@@ -83,7 +83,8 @@
 }
 
 void CacheHints::RemoveOversizedRecords() {
-  // Records written under a larger limit may fit no page any more, so they can't wait for Save().
+  // Records written under a larger size limit may no longer fit any page, so they are removed now
+  // and not in Save().
   std::erase_if(loaded_records_, [this](RecordId record_id) {
     const bool oversized = record_store_->RecordBytes(record_id) > record_bytes_;
     if (oversized) record_store_->Remove(record_id);
@@ -92,8 +93,8 @@
 }
 
 void CacheHints::Save() {
-  // Records that were loaded are replaced, not updated: new ones reserve all the space they may
-  // need, while other records may have filled the pages of the loaded ones.
+  // Loaded records are replaced, not updated: new records reserve all the space they may need,
+  // while other records may have filled the pages of the loaded ones.
   for (RecordId record_id : std::exchange(loaded_records_, {})) record_store_->Remove(record_id);
   SaveImageNames();
   std::string entries;
@@ -110,7 +111,7 @@
     entries += entry;
   }
   SaveMachineRecord(saved++, entries);
-  // Records that were needed before and are not now.
+  // Empties the records that are no longer needed.
   for (; saved < machine_records_.size(); ++saved) SaveMachineRecord(saved, "");
 }
 
--- a/src/fleet/cache_hints.h
+++ b/src/fleet/cache_hints.h
@@ -1,11 +1,11 @@
-// Which images the machines have cached, stored as a hint for the next leader.
+// Stores which images the machines have cached, as a hint for the next leader.
 //
-// Heartbeats name only what runs, so a new leader knows nothing about caches, and would start
-// replicas where their image must be fetched first. The records are hints: they may be out of date
-// or lost without harm, and are written in the background.
+// Heartbeats name only the tasks of a machine, so a new leader knows nothing about image caches and
+// would start replicas where their image must be fetched first. The records are hints: they may be
+// outdated or lost without harm, and are written in the background.
 //
-// The records: one with the names of all images, as {"in":[name,...]}, and some with machines, as
-// {"ic":[[machine, image index,...],...]}, whose indices count into the names.
+// One record holds the names of all images, as {"in":[name,...]}. Others hold machines, as
+// {"ic":[[machine, image index,...],...]}; each index is a position in the list of names.
 //
 // Owned by Leader, for one term. Order of calls: LoadRecord() for every record, FinishLoad() when
 // the machines are known, then Save() from time to time.
@@ -31,17 +31,17 @@
         fleet_(fleet),
         record_bytes_(record_bytes) {}
 
-  // Reads a record of an earlier leader. False if it is not one of cache hints.
+  // Reads a record of an earlier leader. False if it is not a record of cache hints.
   bool LoadRecord(RecordId record_id, const std::string& text);
-  // Applies what was loaded to the machines that are known.
+  // Applies the loaded hints to the known machines.
   void FinishLoad();
-  // Writes the hints, in place of those that were loaded.
+  // Writes the hints and removes the loaded records.
   void Save();
 
  private:
   struct LoadedMachine {
     std::string name;
-    std::vector<uint32_t> images;  // into loaded_image_names_
+    std::vector<uint32_t> images;  // indices into loaded_image_names_
   };
 
   void LoadImageNames(const JsonValue& names);
@@ -58,7 +58,7 @@
   size_t record_bytes_;
   RecordId image_names_record_ = kNoRecord;
   std::vector<RecordId> machine_records_;
-  // Of an earlier leader. They have no space to grow, so Save() replaces them.
+  // Records of an earlier leader. They reserve no space to grow, so Save() replaces them.
   std::vector<RecordId> loaded_records_;
   std::vector<std::string> loaded_image_names_;
   std::vector<LoadedMachine> loaded_machines_;
--- a/src/fleet/command_builder.cc
+++ b/src/fleet/command_builder.cc
@@ -9,14 +9,14 @@
 namespace deckhall {
 namespace {
 
-// A stop is sent again after this time.
+// An unconfirmed stop is sent again after this time.
 constexpr double kStopRetrySeconds = 3.0;
 
 bool IsStopDue(const TaskAttempt& attempt, double now) {
   return now - attempt.stop_sent_at > kStopRetrySeconds;
 }
 
-// Whether the attempt is to be stopped and was reported, so that a stop can reach it.
+// Whether the attempt is to be stopped and was reported, so that the agent can execute a stop.
 bool NeedsStop(const TaskAttempt& attempt) {
   return !attempt.released && !attempt.wanted && attempt.reported;
 }
@@ -57,7 +57,7 @@
     if (attempt.launch_fencing_token == 0) {
       attempts_->RequeueAndErase(machine_index, i);
     } else if (attempt.launch_fencing_token == machine.fencing_token) {
-      // The launch may still be executed; a higher token fences it off.
+      // The launch may still be executed; the higher token fences it off.
       ++machine.fencing_token;
     }
   }
@@ -91,7 +91,8 @@
 bool CommandBuilder::MayAcknowledgeExit(const TaskAttempt& attempt) const {
   if (!attempt.released) return false;
   if (attempt.exit_reason != ExitReason::kDone || attempt.job == kNoIndex) return true;
-  // Once the agent has forgotten it, the record is the only trace of the completion.
+  // After the acknowledgement the agent forgets the attempt, and only the job record shows that the
+  // task is done.
   return job_store_->IsTaskDurable(attempt.job, attempt.task_index);
 }
 
--- a/src/fleet/command_builder.h
+++ b/src/fleet/command_builder.h
@@ -1,10 +1,11 @@
-// Commands to an agent: the difference between the desired and the observed state of its machine.
+// Builds the commands to an agent from the difference between the desired and the observed state of
+// its machine.
 //
 // Guarantees: no launch is sent before the agent has acknowledged the current fencing token; an
 // exit is acknowledged only after the completion of its task is durable; an attempt that was
-// launched and is not wanted any more is fenced off before its task can be placed again.
+// launched and is no longer wanted is fenced off before its task can be placed again.
 //
-// Owned by Fleet. All commands can be repeated (PROTOCOL, "Tokens" and the section before it).
+// Owned by Fleet. All commands are idempotent (PROTOCOL, "Tokens" and the section before it).
 #pragma once
 
 #include <vector>
@@ -22,21 +23,24 @@
   CommandBuilder(const JobStore* job_store, MachineRegistry* machines, AttemptTracker* attempts,
                  const Clock* clock);
 
-  // The commands to send now, recorded as sent. Launches only if `may_launch`. None for a machine
-  // that is not reconciled.
+  // The commands to send now, recorded as sent; includes launches only if `may_launch`. Empty for a
+  // machine that is not reconciled.
   std::vector<Command> BuildCommands(MachineIndex machine_index, bool may_launch);
 
-  // All stops that are due, whether they were sent before or not: an earlier one may be lost.
+  // Stops for all attempts to be stopped, including stops that were sent before, since these may be
+  // lost.
   std::vector<Command> BuildStops(MachineIndex machine_index);
 
-  // Stops for the tasks in `heartbeat` whose jobs have ended, whoever launched them.
+  // Stops for the tasks in `heartbeat` whose jobs have ended, including attempts launched by an
+  // earlier leader.
   std::vector<Command> BuildStopsOfEndedJobs(const Heartbeat& heartbeat) const;
 
-  // Whether it is worth sending commands now. Acknowledgements of exits can wait.
+  // Whether commands should be sent now. Acknowledgements of exits alone are no reason to.
   bool HasCommands(MachineIndex machine_index, bool may_launch) const;
 
-  // A command got no response and may be executed late. A higher token fences it off: a late
-  // launch would otherwise start its attempt again after the exit was acknowledged.
+  // Raises the fencing token after a command got no response, so that the agent rejects the command
+  // if it arrives late. Otherwise a late launch could start its attempt again after the exit was
+  // acknowledged.
   void FenceOffSentCommands(MachineIndex machine_index);
 
  private:
--- a/src/fleet/exit_handler.cc
+++ b/src/fleet/exit_handler.cc
@@ -24,7 +24,7 @@
       HandleCompletion(machine_index, *attempt);
     } else {
       attempts_->Requeue(machine_index, *attempt);
-      // Requeue() has taken it out of the count of running tasks.
+      // Requeue() has already removed the attempt from the number of running tasks.
       attempt->running_since = -1;
     }
   }
@@ -40,7 +40,7 @@
     StopReplacement(machine_index, attempt);
     job_store_->MarkTaskDone(attempt.job, attempt.task_index);
   }
-  if (job.lifecycle == JobLifecycle::kActive) SaveProgress(attempt.job);
+  if (job.lifecycle == JobLifecycle::kActive) SaveOrEndJob(attempt.job);
 }
 
 void ExitHandler::StopReplacement(MachineIndex machine_index, const TaskAttempt& completed) {
@@ -55,13 +55,13 @@
 
 void ExitHandler::CompleteGang(JobIndex job_index) {
   const Job& job = (*job_store_)[job_index];
-  // Each of its tasks exits as done; the first one has completed them all.
+  // Every task of the gang exits as done; the first exit has already completed all of them.
   if (job.tasks_done >= job.tasks.size()) return;
   job_store_->MarkAllTasksDone(job_index);
   attempts_->RequestStopOfUnreported(job_index);
 }
 
-void ExitHandler::SaveProgress(JobIndex job_index) {
+void ExitHandler::SaveOrEndJob(JobIndex job_index) {
   const Job& job = (*job_store_)[job_index];
   if (job.tasks_done != job.tasks.size()) {
     job_store_->Save(job_index, WritePriority::kBackground);
--- a/src/fleet/exit_handler.h
+++ b/src/fleet/exit_handler.h
@@ -1,7 +1,7 @@
-// What the exit of an attempt means for its task and its job.
+// Applies the exit of an attempt to its task and its job.
 //
-// A task of an array or gang that exits as done is done for good; any other exit makes the task
-// wait for placement again. A job whose tasks are all done ends.
+// A task of an array or gang that exits as done is complete; any other exit makes the task wait for
+// placement again. A job ends when all its tasks are done.
 //
 // Owned by Fleet.
 #pragma once
@@ -24,12 +24,13 @@
 
  private:
   void HandleCompletion(MachineIndex machine_index, const TaskAttempt& attempt);
-  // Stops the attempt that stands for the task, if it is another one: it is not needed any more.
+  // Stops the current attempt of the task if it is not the completed one, as it is no longer
+  // needed.
   void StopReplacement(MachineIndex machine_index, const TaskAttempt& completed);
   // The tasks of a gang complete together.
   void CompleteGang(JobIndex job_index);
   // Ends the job if all its tasks are done, and saves it otherwise.
-  void SaveProgress(JobIndex job_index);
+  void SaveOrEndJob(JobIndex job_index);
   void LogJobDone(JobIndex job_index) const;
 
   JobStore* job_store_;
--- a/src/fleet/fencing.h
+++ b/src/fleet/fencing.h
@@ -1,8 +1,8 @@
-// Fencing tokens and the order of an agent's messages (PROTOCOL, "Tokens" and "Delayed messages").
+// Fencing tokens, and the order of an agent's messages (PROTOCOL, "Tokens" and "Delayed messages").
 //
 // An agent executes a command only if its token is not lower than the highest one it has seen.
-// Tokens, like attempt numbers, carry the term of their leader in their high bits, so that those
-// of a later term are always higher.
+// Tokens and attempt numbers contain the term of their leader in their high bits, so that those of
+// a later term are always higher.
 #pragma once
 
 #include <cstdint>
@@ -11,14 +11,14 @@
 
 namespace deckhall {
 
-// Bits of a token or attempt number below the term.
-constexpr int kTermShift = 24;
+// Number of bits below the term in a token or attempt number.
+constexpr int kTermShiftBits = 24;
 
 // The term in a fencing token or attempt number.
-inline uint64_t TermOf(uint64_t token) { return token >> kTermShift; }
+inline uint64_t TermOf(uint64_t token) { return token >> kTermShiftBits; }
 
 // The lowest fencing token of a term.
-inline uint64_t FirstTokenOf(uint64_t term) { return term << kTermShift; }
+inline uint64_t FirstTokenOf(uint64_t term) { return term << kTermShiftBits; }
 
 // Orders the heartbeats and responses of one agent.
 struct HeartbeatVersion {
@@ -31,8 +31,8 @@
   }
 };
 
-// Whether the agent has shown the token its next commands would carry. It then receives what is
-// sent to it, and executes nothing that was sent with a lower token.
+// Whether the agent has reported the token that its next commands would carry. This proves that it
+// receives commands or responses, and that it rejects commands sent with a lower token.
 inline bool HasAcknowledgedToken(const Machine& machine) {
   return machine.acknowledged_token >= machine.fencing_token;
 }
--- a/src/fleet/fleet.cc
+++ b/src/fleet/fleet.cc
@@ -22,15 +22,15 @@
 void Fleet::RemoveMachine(MachineIndex machine_index, const char* reason) {
   Machine& machine = machines_[machine_index];
   if (machine.removed) return;
-  attempts_.LoseAll(machine_index, reason);
+  attempts_.RequeueAndEraseAll(machine_index, reason);
   machines_.MarkReconciled(machine_index);
   machines_.Remove(machine_index);
   spdlog::info("machine={}: removed: {}", machine.name, reason);
 }
 
 bool Fleet::IsLeaseExpired(const Machine& machine, double now, double term_began_at) const {
-  // The time of day is read only where it counts: this runs for each machine, several times a
-  // second.
+  // Reads the time of day only when needed, since this runs several times a second for each
+  // machine.
   const double wall = machine.unrenewed_since_wall < 0 ? 0 : clock_->Wall();
   return deckhall::IsLeaseExpired(machine, options_, {now, wall, term_began_at});
 }
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -1,12 +1,13 @@
-// The machines of the cluster and the task attempts on them, as the leader knows them.
+// The leader's view of the machines in the cluster and of the task attempts on them.
 //
 // Fleet holds the desired and the observed state of every machine and turns the difference into
-// commands. It is a facade over parts with one job each: MachineRegistry (which machines there
-// are), AttemptTracker (desired state and resources of attempts), HeartbeatApplier with
-// AttemptReconciler and ExitHandler (observed state), and CommandBuilder.
+// commands. It is a facade over MachineRegistry (the known machines), AttemptTracker (desired state
+// and resources of attempts), HeartbeatApplier with AttemptReconciler and ExitHandler (observed
+// state), and CommandBuilder.
 //
-// Guarantees: an attempt that was launched holds its resources, and stands for its task, until the
-// agent has shown that it is not there and cannot start any more, or until its lease has expired.
+// Guarantees: a launched attempt holds its resources, and remains the current attempt of its task,
+// until the agent has shown that the attempt is absent and can no longer start, or until the
+// agent's lease has expired.
 //
 // Owned by Leader, for one term. Not thread-safe: used from the event loop only.
 #pragma once
@@ -50,14 +51,14 @@
   uint32_t size() const { return machines_.size(); }
   // Machines that were not removed, in the order in which they were added.
   const std::vector<MachineIndex>& active() const { return machines_.active(); }
-  // Loses all attempts on the machine and removes it; `reason` is for the log. Does nothing if it
-  // is removed already.
+  // Requeues and erases all attempts on the machine and removes it; `reason` is for the log. Does
+  // nothing if the machine is already removed.
   void RemoveMachine(MachineIndex machine_index, const char* reason);
-  // Takes the next changed machine off the queue; none: it is empty.
-  std::optional<MachineIndex> PopChanged() { return machines_.TakeChanged(); }
+  // Removes the next changed machine from the queue and returns it; nullopt if the queue is empty.
+  std::optional<MachineIndex> PopChanged() { return machines_.PopChanged(); }
   void MarkChanged(MachineIndex machine_index) { machines_.MarkChanged(machine_index); }
   void InvalidateAllCapacity() { machines_.InvalidateAllCapacity(); }
-  // Every attempt that can be on the machine is known from now on.
+  // Records that every attempt that can be on the machine is known.
   void MarkReconciled(MachineIndex machine_index) { machines_.MarkReconciled(machine_index); }
   // Active machines that may run attempts of an earlier leader and are not reconciled.
   uint32_t CountUnreconciled() const { return machines_.CountUnreconciled(); }
@@ -66,7 +67,7 @@
 
   // An attempt number that was never used before.
   uint64_t NewAttemptNumber() { return attempts_.NewAttemptNumber(); }
-  // Places a task; the launch goes out with the next commands.
+  // Places a task; its launch is sent with the next commands.
   void PlaceTask(MachineIndex machine_index, JobIndex job_index, uint32_t task_index,
                  uint64_t attempt_number, bool placed_by_aging = false) {
     attempts_.PlaceTask(machine_index, job_index, task_index, attempt_number, placed_by_aging);
@@ -76,17 +77,17 @@
                            uint64_t attempt_number) {
     return attempts_.Find(machine_index, job_index, task_index, attempt_number);
   }
-  // Sets the desired state of an attempt to stopped, with this time to checkpoint.
+  // Sets the desired state of an attempt to stopped; `grace_period_s` is its time to checkpoint.
   void RequestStop(MachineIndex machine_index, TaskAttempt* attempt, double grace_period_s) {
     attempts_.RequestStop(machine_index, attempt, grace_period_s);
   }
   void RequestStopOfJob(JobIndex job_index) { attempts_.RequestStopOfJob(job_index); }
-  // Nothing runs on the machine any more: erases its attempts, and requeues the tasks of those
-  // that had not exited. `reason` is for the log.
+  // For a machine on which nothing runs any more: erases its attempts and requeues the tasks of
+  // those that had not exited. `reason` is for the log.
   void ReleaseAttempts(MachineIndex machine_index, const char* reason) {
-    attempts_.LoseAll(machine_index, reason);
+    attempts_.RequeueAndEraseAll(machine_index, reason);
   }
-  // What the attempts of each team hold, by team index.
+  // The resources that the attempts of each team hold, by team index.
   const std::vector<ResourceUsage>& team_usage() const { return attempts_.team_usage(); }
 
   // Heartbeats and probes. See HeartbeatApplier.
@@ -95,17 +96,17 @@
   bool ApplyHeartbeat(MachineIndex machine_index, const Heartbeat& heartbeat) {
     return heartbeats_.ApplyHeartbeat(machine_index, heartbeat);
   }
-  // Applies the response to a probe or direct command that was sent when `version_at_probe` was the
-  // newest version known.
+  // Applies the response to a probe or direct command; `version_at_probe` was the newest version
+  // known when it was sent.
   void ApplyProbeResponse(MachineIndex machine_index, const Heartbeat& heartbeat,
                           HeartbeatVersion version_at_probe) {
     heartbeats_.ApplyProbeResponse(machine_index, heartbeat, version_at_probe);
   }
-  // The newest version known.
+  // The newest heartbeat version known.
   HeartbeatVersion VersionOf(MachineIndex machine_index) const {
     return {machines_[machine_index].agent_epoch, machines_[machine_index].sequence};
   }
-  // A command or probe got no usable response.
+  // Records that a command or probe got no usable response.
   void RecordUnreachable(MachineIndex machine_index) {
     heartbeats_.RecordUnreachable(machine_index);
   }
@@ -113,22 +114,22 @@
   static bool HasAcknowledgedToken(const Machine& machine) {
     return deckhall::HasAcknowledgedToken(machine);
   }
-  // Whether the agent has shown a token of this term. It then accepts no responses of a former
+  // Whether the agent has reported a token of this term, and hence accepts no responses of a former
   // leader.
   bool KnowsCurrentTerm(const Machine& machine) const {
     return TermOf(machine.acknowledged_token) == term_;
   }
-  // Whether the agent has certainly killed everything on the machine. Both times are of the steady
-  // clock, in seconds.
+  // Whether the agent is guaranteed to have killed all tasks on the machine. Both times are seconds
+  // of the steady clock.
   bool IsLeaseExpired(const Machine& machine, double now, double term_began_at) const;
 
   // Commands. See CommandBuilder.
 
-  // The commands to send now; launches only if `may_launch`.
+  // The commands to send now; includes launches only if `may_launch`.
   std::vector<Command> BuildCommands(MachineIndex machine_index, bool may_launch) {
     return commands_.BuildCommands(machine_index, may_launch);
   }
-  // All stops, whether they were sent before or not.
+  // Stops for all attempts to be stopped, including stops that were sent before.
   std::vector<Command> BuildStops(MachineIndex machine_index) {
     return commands_.BuildStops(machine_index);
   }
@@ -136,11 +137,12 @@
   std::vector<Command> BuildStopsOfEndedJobs(const Heartbeat& heartbeat) const {
     return commands_.BuildStopsOfEndedJobs(heartbeat);
   }
-  // Whether it is worth sending commands now.
+  // Whether commands should be sent now.
   bool HasCommands(MachineIndex machine_index, bool may_launch) const {
     return commands_.HasCommands(machine_index, may_launch);
   }
-  // A command got no response and may be executed late: a higher token fences it off.
+  // Raises the fencing token after a command got no response, so that the agent rejects the command
+  // if it arrives late.
   void FenceOffSentCommands(MachineIndex machine_index) {
     commands_.FenceOffSentCommands(machine_index);
   }
--- a/src/fleet/fleet_events.h
+++ b/src/fleet/fleet_events.h
@@ -1,4 +1,4 @@
-// What the fleet tells the rest of the leader: callbacks, and one flag the leader polls.
+// Events of the fleet for the rest of the leader: callbacks, and one flag that the leader polls.
 //
 // Owned by Fleet, shared by its parts. Set by the leader before the first heartbeat is applied.
 #pragma once
@@ -11,27 +11,27 @@
 
 namespace deckhall {
 
-// Receives each event that may disrupt users' work, when it happens.
+// Is notified at once of each event that may disrupt users' jobs.
 class DisruptionObserver {
  public:
   virtual ~DisruptionObserver() = default;
   // The health of a replica may have changed.
   virtual void ReplicaChanged(JobIndex job_index, uint32_t task_index) = 0;
-  // A task of an active array was lost, or told to stop.
+  // A task of an active array was lost, or instructed to stop.
   virtual void ArrayTaskStopped(JobIndex job_index) = 0;
   // A job was accepted, or has ended.
   virtual void JobChanged(JobIndex job_index) = 0;
 };
 
 struct FleetEvents {
-  // An attempt exited, for the reason in `exit_reason`. Called after its resources were released
+  // An attempt exited, with its `exit_reason` set. Called after its resources were released
   // and its job was updated. May be empty.
   std::function<void(MachineIndex, const TaskAttempt&)> on_attempt_exited;
   // A machine that may run attempts of an earlier leader was reconciled.
   std::function<void()> on_machine_reconciled = [] {};
   // May be null.
   DisruptionObserver* observer = nullptr;
-  // Capacity or demand changed: the placer should run. Reset by the leader.
+  // Set when capacity or demand changed, so that the placer should run. Reset by the leader.
   bool placement_needed = false;
 };
 
--- a/src/fleet/heartbeat_applier.cc
+++ b/src/fleet/heartbeat_applier.cc
@@ -7,10 +7,11 @@
 namespace deckhall {
 namespace {
 
-// Messages of an agent that may overtake each other without anything being wrong.
-constexpr uint64_t kReorderingAllowance = 16;
+// Messages of an agent that may be reordered in transit without raising suspicion.
+constexpr uint64_t kMaxReorderedMessages = 16;
 
-// Failed probes in a row after which attempts that were never sent are requeued.
+// Commands or probes without a usable response, in a row, after which attempts whose launch was
+// never sent are requeued.
 constexpr int kUnreachableLimit = 2;
 
 HeartbeatVersion VersionOf(const Machine& machine) {
@@ -38,7 +39,7 @@
     return false;
   }
   const double now = clock_->Now();
-  RecordHeard(machine_index, now);
+  RecordLiveness(machine_index, now);
   if (heartbeat.agent_epoch > machine.agent_epoch) HandleNewEpoch(machine_index);
   machine.agent_epoch = heartbeat.agent_epoch;
   machine.sequence = heartbeat.sequence;
@@ -55,11 +56,11 @@
 
 bool HeartbeatApplier::IsSuspicious(const Machine& machine, const Heartbeat& heartbeat) {
   return heartbeat.agent_epoch < machine.agent_epoch ||
-         heartbeat.sequence + kReorderingAllowance < machine.sequence ||
+         heartbeat.sequence + kMaxReorderedMessages < machine.sequence ||
          heartbeat.fencing_token < machine.acknowledged_token;
 }
 
-void HeartbeatApplier::RecordHeard(MachineIndex machine_index, double now) {
+void HeartbeatApplier::RecordLiveness(MachineIndex machine_index, double now) {
   Machine& machine = (*machines_)[machine_index];
   machine.last_heard_at = now;
   machine.probe_failures = 0;
@@ -71,9 +72,9 @@
 
 void HeartbeatApplier::HandleNewEpoch(MachineIndex machine_index) {
   Machine& machine = (*machines_)[machine_index];
-  if (!machine.attempts.empty()) attempts_->LoseAll(machine_index, "new agent epoch");
-  // The lease expired, so responses may not reach the agent; its heartbeats alone do not prove
-  // that they do. It gets nothing before it acknowledges a token issued after this point.
+  if (!machine.attempts.empty()) attempts_->RequeueAndEraseAll(machine_index, "new agent epoch");
+  // The lease expired, so responses may not reach the agent, and its heartbeats alone do not prove
+  // that they do. No launches are sent until it acknowledges a token issued after this point.
   ++machine.fencing_token;
   machines_->InvalidateMachine(machine_index);
 }
@@ -88,8 +89,8 @@
     machines_->InvalidateMachine(machine_index);
   }
   machine.acknowledged_token = std::max(machine.acknowledged_token, reported_token);
-  // A higher token of this term is not one that was recorded here as issued. Later tokens must not
-  // fall behind it.
+  // A higher token of this term was not recorded here as issued. Tokens issued from now on must not
+  // be lower.
   if (TermOf(reported_token) == term_ && reported_token > machine.fencing_token)
     machine.fencing_token = reported_token;
 }
@@ -111,7 +112,7 @@
   machine.unreachable_count = 0;
   machine.suspected = false;
   machine.probe_failures = 0;
-  // Without a restart the response would be newer than everything received before the probe.
+  // Without a restart, the response would be newer than every heartbeat received before the probe.
   const bool has_restarted =
       !VersionOf(heartbeat).IsNewerThan(version_at_probe) && heartbeat.sequence > 0;
   if (has_restarted) HandleAgentRestart(machine_index, heartbeat);
@@ -122,9 +123,9 @@
   Machine& machine = (*machines_)[machine_index];
   spdlog::info("machine={} epoch={} sequence={}: agent restarted", machine.name,
                heartbeat.agent_epoch, heartbeat.sequence);
-  attempts_->LoseAll(machine_index, "agent restarted");
+  attempts_->RequeueAndEraseAll(machine_index, "agent restarted");
   machine.agent_epoch = heartbeat.agent_epoch;
-  // One less, so that this heartbeat counts as newer.
+  // One lower, so that ApplyHeartbeat() accepts this heartbeat as newer.
   machine.sequence = heartbeat.sequence - 1;
   machine.acknowledged_token = heartbeat.fencing_token;
   machines_->InvalidateMachine(machine_index);
@@ -134,7 +135,7 @@
   Machine& machine = (*machines_)[machine_index];
   if (machine.unreachable_since < 0) machine.unreachable_since = clock_->Now();
   ++machine.unreachable_count;
-  // The stops that were sent may be lost: the response to the next heartbeat repeats them.
+  // Stops that were sent may be lost, so the response to the next heartbeat repeats them.
   for (TaskAttempt& attempt : machine.attempts) attempt.stop_sent_at = kStopNotSentAt;
   machine.capacity_stale = true;
   if (machine.unreachable_count < kUnreachableLimit) return;
--- a/src/fleet/heartbeat_applier.h
+++ b/src/fleet/heartbeat_applier.h
@@ -1,9 +1,9 @@
-// Applies heartbeats and probe responses to a machine: their order, agent restarts, fencing
-// tokens, preemption notices; then has the attempts reconciled.
+// Applies heartbeats and probe responses to a machine: rejects outdated ones, detects agent
+// restarts, records fencing tokens and preemption notices, then has the attempts reconciled.
 //
-// Guarantees: an older heartbeat never overwrites the state a newer one set. Attempts are
-// reconciled only after the agent has shown a token of this term, since before that a command of
-// a former leader may still change what runs there.
+// Guarantees: an older heartbeat never overwrites the state that a newer one set. Attempts are
+// reconciled only after the agent has reported a token of this term, since until then a command of
+// a former leader may still start or stop tasks on the machine.
 //
 // Owned by Fleet.
 #pragma once
@@ -24,27 +24,28 @@
   HeartbeatApplier(MachineRegistry* machines, AttemptTracker* attempts,
                    AttemptReconciler* reconciler, const Clock* clock, uint64_t term);
 
-  // Applies a heartbeat, or the one in the response to a command. False if it is not newer than
-  // the last one applied; nothing but `suspected` is changed then.
+  // Applies a heartbeat, or the one in the response to a command. Returns false, and changes at
+  // most `suspected`, if it is not newer than the last one applied.
   bool ApplyHeartbeat(MachineIndex machine_index, const Heartbeat& heartbeat);
 
-  // Applies the response to a probe or direct command that was sent when `version_at_probe` was the
-  // newest known. It proves that the agent is reachable, and reveals whether it has restarted.
+  // Applies the response to a probe or direct command; `version_at_probe` was the newest version
+  // known when it was sent. The response proves that the agent is reachable, and shows whether it
+  // has restarted.
   void ApplyProbeResponse(MachineIndex machine_index, const Heartbeat& heartbeat,
                           HeartbeatVersion version_at_probe);
 
-  // A command or probe got no usable response. From the second time on, attempts that were never
-  // sent there are requeued.
+  // Records that a command or probe got no usable response. From the second failure in a row on,
+  // requeues the attempts whose launch was never sent.
   void RecordUnreachable(MachineIndex machine_index);
 
  private:
-  // An older heartbeat is a late copy, or comes from an agent that has restarted and counts from
-  // the start again. Only a probe can tell.
+  // Whether an older heartbeat may come from an agent that has restarted and reset its epoch,
+  // sequence or token, rather than be a delayed copy. Only a probe can distinguish the two.
   static bool IsSuspicious(const Machine& machine, const Heartbeat& heartbeat);
-  void RecordHeard(MachineIndex machine_index, double now);
-  // The agent's lease expired, and it began a new epoch without tasks.
+  void RecordLiveness(MachineIndex machine_index, double now);
+  // Handles an agent whose lease expired and which began a new epoch without tasks.
   void HandleNewEpoch(MachineIndex machine_index);
-  // The agent restarted under the same name, with an epoch it has used before.
+  // Handles an agent that restarted under the same name with an epoch it has used before.
   void HandleAgentRestart(MachineIndex machine_index, const Heartbeat& heartbeat);
   void ApplyFencingToken(MachineIndex machine_index, uint64_t reported_token, double now);
   void ApplyPreemptionNotice(MachineIndex machine_index, double notice_s, double now);
--- a/src/fleet/http_worker_client.cc
+++ b/src/fleet/http_worker_client.cc
@@ -24,7 +24,7 @@
       if (heartbeat) {
         response.heartbeat = std::move(*heartbeat);
       } else {
-        spdlog::warn("endpoint={}: worker response without a heartbeat", endpoint);
+        spdlog::warn("endpoint={}: worker response contains no valid heartbeat", endpoint);
       }
     }
     if (response.has_heartbeat) response.status = result.status;
--- a/src/fleet/http_worker_client.h
+++ b/src/fleet/http_worker_client.h
@@ -1,4 +1,4 @@
-// Direct commands to workers over HTTP.
+// Sends direct commands and probes to workers over HTTP.
 #pragma once
 
 #include "fleet/worker_client.h"
@@ -12,6 +12,7 @@
   void SendCommands(const std::string& endpoint, uint64_t fencing_token, uint64_t agent_epoch,
                     const std::vector<Command>& commands, double timeout_s, Done done) override;
   void Probe(const std::string& endpoint, double timeout_s, Done done) override;
+  // Closes connections that have been idle for 30 s.
   void Trim() { http_.Trim(30); }
 
  private:
--- a/src/fleet/lease_expiry.h
+++ b/src/fleet/lease_expiry.h
@@ -1,8 +1,8 @@
-// When the lease of an agent has certainly expired.
+// Determines whether the lease of an agent has certainly expired.
 //
-// An agent whose last answered heartbeat was sent more than `lease_s` ago kills all its tasks
-// (PROTOCOL, "Leases"). Its tasks may be placed elsewhere only after that, so every clock error
-// counts against expiry here.
+// An agent kills all its tasks when `lease_s` have passed since it sent the last heartbeat that got
+// a response (PROTOCOL, "Leases"). Only then may its tasks be placed elsewhere, so every possible
+// clock error delays expiry here.
 #pragma once
 
 #include "fleet/fleet_options.h"
@@ -16,7 +16,7 @@
   double term_began_at = 0;  // steady clock, seconds
 };
 
-// Whether the agent of `machine` has killed everything that ran on it.
+// Whether the agent of `machine` is guaranteed to have killed all tasks that ran on it.
 bool IsLeaseExpired(const Machine& machine, const FleetOptions& options,
                     const LeaseCheckTimes& times);
 
--- a/src/fleet/machine_registry.cc
+++ b/src/fleet/machine_registry.cc
@@ -10,8 +10,8 @@
     : clock_(clock), term_(term), events_(events) {}
 
 MachineIndex MachineRegistry::Find(const std::string& name) const {
-  auto entry = index_.find(name);
-  return entry == index_.end() ? kNoIndex : entry->second;
+  auto entry = index_by_name_.find(name);
+  return entry == index_by_name_.end() ? kNoIndex : entry->second;
 }
 
 MachineIndex MachineRegistry::Add(const std::string& name) {
@@ -20,7 +20,7 @@
   machine.name = name;
   machine.fencing_token = FirstTokenOf(term_);
   machine.discovered_at = clock_->Now();
-  index_[name] = machine_index;
+  index_by_name_[name] = machine_index;
   active_.push_back(machine_index);
   return machine_index;
 }
@@ -40,7 +40,7 @@
   changed_.push_back(machine_index);
 }
 
-std::optional<MachineIndex> MachineRegistry::TakeChanged() {
+std::optional<MachineIndex> MachineRegistry::PopChanged() {
   if (changed_.empty()) return std::nullopt;
   const MachineIndex machine_index = changed_.front();
   changed_.pop_front();
--- a/src/fleet/machine_registry.h
+++ b/src/fleet/machine_registry.h
@@ -1,7 +1,7 @@
-// All machines known in this term, and which of them changed.
+// All machines known in this term, and a queue of those that changed.
 //
 // Guarantees: an index is valid for the term, since entries are never erased; `active()` lists the
-// machines that were not removed; a changed machine is queued once until it is taken.
+// machines that were not removed; a changed machine is in the queue at most once.
 //
 // Owned by Fleet. References to machines are valid until the next Add().
 #pragma once
@@ -23,7 +23,7 @@
  public:
   MachineRegistry(const Clock* clock, uint64_t term, FleetEvents* events);
 
-  // The latest machine added under this name; kNoIndex if there is none.
+  // The last machine added under this name; kNoIndex if there is none.
   MachineIndex Find(const std::string& name) const;
   // Adds a machine. Its fencing token is the lowest of the term.
   MachineIndex Add(const std::string& name);
@@ -38,14 +38,15 @@
 
   // Queues the machine for the next round of commands.
   void MarkChanged(MachineIndex machine_index);
-  // Takes the machine that changed first off the queue; nothing if the queue is empty.
-  std::optional<MachineIndex> TakeChanged();
-  // The free capacity of the machine must be read again, and commands may be due.
+  // Removes the first machine from the queue and returns it; nullopt if the queue is empty.
+  std::optional<MachineIndex> PopChanged();
+  // Marks the free capacity of the machine as outdated and queues the machine, since commands may
+  // be due.
   void InvalidateMachine(MachineIndex machine_index);
-  // The free capacity of all active machines must be read again.
+  // Marks the free capacity of all active machines as outdated.
   void InvalidateAllCapacity();
 
-  // Every attempt that can be on the machine is known from now on.
+  // Records that every attempt that can be on the machine is known.
   void MarkReconciled(MachineIndex machine_index);
   // Active machines that may run attempts of an earlier leader and are not reconciled.
   uint32_t CountUnreconciled() const;
@@ -57,7 +58,7 @@
   std::vector<Machine> machines_;
   std::vector<MachineIndex> active_;
   std::deque<MachineIndex> changed_;
-  std::unordered_map<std::string, MachineIndex> index_;
+  std::unordered_map<std::string, MachineIndex> index_by_name_;
 };
 
 }  // namespace deckhall
--- a/src/fleet/task_name.h
+++ b/src/fleet/task_name.h
@@ -12,7 +12,7 @@
   uint32_t task_index = 0;
 };
 
-// The parts of `name`; nothing if it does not end in a slash and a decimal index.
+// The parts of `name`; nullopt if it does not end in a slash and a decimal index.
 std::optional<TaskName> ParseTaskName(const std::string& name);
 
 std::string FormatTaskName(const std::string& job_id, uint32_t task_index);
--- a/src/fleet/worker_client.h
+++ b/src/fleet/worker_client.h
@@ -15,7 +15,7 @@
 
 // The outcome of a call.
 struct WorkerResponse {
-  int status = 0;     // HTTP status 200 or 409; 0: no usable response
+  int status = 0;     // HTTP status 200 or 409; 0 without a usable response
   bool sent = false;  // whether the request may have reached the agent
   bool has_heartbeat = false;
   Heartbeat heartbeat;  // the state after the commands; valid if `has_heartbeat`
@@ -25,13 +25,13 @@
  public:
   using Done = std::function<void(WorkerResponse)>;
   virtual ~WorkerClient() = default;
-  // Sends commands to `endpoint` (host:port). The agent executes none of them, and responds with
-  // 409, if it has seen a higher fencing token or its epoch differs (PROTOCOL, "POST /do").
-  // `timeout_s` is in seconds; a request that has timed out may still be executed later.
+  // Sends commands to `endpoint` (host:port). The agent responds with 409 and executes no command
+  // if it has seen a higher fencing token or its epoch differs (PROTOCOL, "POST /do"). A request
+  // that has timed out may still be executed later.
   virtual void SendCommands(const std::string& endpoint, uint64_t fencing_token,
                             uint64_t agent_epoch, const std::vector<Command>& commands,
                             double timeout_s, Done done) = 0;
-  // Asks for the current state (PROTOCOL, "GET /inspect").
+  // Requests the current state of the machine (PROTOCOL, "GET /inspect").
   virtual void Probe(const std::string& endpoint, double timeout_s, Done done) = 0;
 };
 
--- a/src/mesh/frame_reader.cc
+++ b/src/mesh/frame_reader.cc
@@ -12,7 +12,7 @@
 constexpr size_t kLengthBytes = 4;
 constexpr size_t kBitsPerByte = 8;
 
-// Decodes the little-endian length at the beginning of `bytes`, which holds all of it.
+// Decodes the little-endian length at the beginning of `bytes`, which has at least `kLengthBytes`.
 uint32_t DecodeLength(std::string_view bytes) {
   uint32_t length = 0;
   for (size_t i = 0; i < kLengthBytes; ++i) {
@@ -33,7 +33,7 @@
     if (rest.size() - kLengthBytes < length) break;
     std::optional<PeerFrame> frame = DecodeFrame(rest.substr(kLengthBytes, length));
     if (!frame) {
-      spdlog::warn("peer connection closed: malformed frame");
+      spdlog::warn("closing peer connection: received a frame that can't be decoded");
       return false;
     }
     position += kLengthBytes + length;
--- a/src/mesh/peer_connections.cc
+++ b/src/mesh/peer_connections.cc
@@ -10,12 +10,14 @@
 
 constexpr double kMaintenanceIntervalSeconds = 0.1;
 constexpr double kRedialIntervalSeconds = 0.5;
-// A connection attempt that fails sooner than this was refused by the other side.
+// A connection attempt that fails within this time counts as refused by the peer.
 constexpr double kRefusalTimeoutSeconds = 0.3;
-// Peers ping each other far more often than this.
-constexpr double kSilenceTimeoutSeconds = 1.5;
-// The loss of a peer is logged once, not with every failed redial.
-constexpr double kLogLossWithinSeconds = 2;
+// An outbound connection is closed when no frame was received on it for this time. Peers ping each
+// other far more often.
+constexpr double kReceiveTimeoutSeconds = 1.5;
+// A disconnect is logged only within this time after the last received frame, so that the loss of a
+// peer is logged once and not with every failed redial.
+constexpr double kLossLogWindowSeconds = 2;
 constexpr size_t kMaxInboundConnections = 64;
 constexpr size_t kMaxUnsentBytes = 1 << 20;
 
@@ -72,7 +74,7 @@
   const double now = clock_->Now();
   for (auto& connection : outbound_) {
     const double active_at = std::max(connection->last_received_at, connection->last_dialled_at);
-    if (connection->tcp && now - active_at > kSilenceTimeoutSeconds) Disconnect(connection.get());
+    if (connection->tcp && now - active_at > kReceiveTimeoutSeconds) Disconnect(connection.get());
     const bool redial_due = now - connection->last_dialled_at > kRedialIntervalSeconds;
     if (!connection->tcp && redial_due) Dial(connection.get());
   }
@@ -103,7 +105,7 @@
   const bool refused =
       !connection->tcp->connected() && now - connection->last_dialled_at < kRefusalTimeoutSeconds;
   if (refused) network_->membership().RecordRefusedConnection(connection->index);
-  if (now - connection->last_received_at < kLogLossWithinSeconds) {
+  if (now - connection->last_received_at < kLossLogWindowSeconds) {
     spdlog::info("peer={}: {}", connection->peer.label,
                  refused ? "connection refused" : "disconnected");
   }
@@ -122,7 +124,7 @@
 void PeerConnections::ReceiveRequests(uint64_t inbound_id, std::string_view bytes) {
   auto connection = inbound_.find(inbound_id);
   if (connection == inbound_.end()) return;
-  // A request handler may close this connection, so its reader is moved out meanwhile.
+  // A request handler may close this connection, so its reader is moved out while it is used.
   FrameReader reader = std::move(connection->second.reader);
   const bool well_formed = reader.Read(bytes, [this, inbound_id](PeerFrame frame) {
     network_->HandleRequest(std::move(frame), [this, inbound_id](const PeerFrame& response) {
--- a/src/mesh/peer_connections.h
+++ b/src/mesh/peer_connections.h
@@ -1,16 +1,16 @@
-// The TCP connections between the controllers: an outbound one to each peer, which is kept open,
-// and the inbound ones that the peers opened.
+// The TCP connections between the controllers: a persistent outbound one to each peer, and the
+// inbound ones that the peers opened.
 //
 // Guarantees and invariants:
-//  - Requests go out and their responses come in on outbound connections; inbound ones carry the
-//    requests of peers and this controller's responses.
-//  - An outbound connection that is closed, or on which nothing was received for a while, is
-//    opened again.
+//  - Outbound connections carry the requests of this controller and the responses to them; inbound
+//    ones carry the requests of peers and this controller's responses.
+//  - An outbound connection is reopened after it was closed, or if no frame was received on it for
+//    some time.
 //  - The bytes buffered on each connection are bounded; further frames are dropped.
 //  - A connection is never destroyed from within one of its own callbacks.
 //
-// Owned by `Process`, which also owns the `PeerNetwork` that the frames go to. Runs on the event
-// loop; all times are seconds of the steady clock.
+// Owned by `Process`, which also owns the `PeerNetwork` that handles received frames. Runs on the
+// event loop; all times are seconds of the steady clock.
 #pragma once
 
 #include <cstdint>
@@ -36,8 +36,8 @@
   PeerConnections(Loop* loop, const Clock* clock, const Endpoint& listen,
                   const std::vector<Peer>& peers);
 
-  // Opens the outbound connections; received frames go to `network` from now on. Called once,
-  // before the loop runs. `network` must outlive the loop's last turn.
+  // Opens the outbound connections and passes received frames to `network` from now on. Called
+  // once, before the loop runs. `network` must outlive the last iteration of the loop.
   void Start(PeerNetwork* network);
 
   bool IsConnected(size_t peer) const override;
@@ -46,15 +46,15 @@
  private:
   static constexpr double kNever = -1e9;  // long before any time of the steady clock
 
-  // A connection with the frames that are on their way over it.
+  // A connection with its buffers for received and unsent frames.
   struct FramedConnection {
     std::unique_ptr<TcpConn> tcp;  // null while an outbound connection is closed
     FrameReader reader;
-    std::string unsent_frames;  // encoded in this turn of the loop
+    std::string unsent_frames;  // encoded in this loop iteration
 
-    // Encodes the frame for the next flush, or drops it when too much is buffered.
+    // Encodes the frame for the next flush, or drops it if the buffer limit is reached.
     void Enqueue(const PeerFrame& frame);
-    // Passes the encoded frames on to the socket.
+    // Passes the encoded frames to the socket.
     void Flush();
   };
   struct OutboundConnection : FramedConnection {
@@ -65,9 +65,9 @@
   };
   using InboundConnection = FramedConnection;
 
-  // Closes silent outbound connections and opens closed ones.
+  // Closes outbound connections on which nothing is received, and reopens closed ones.
   void MaintainConnections();
-  // Sends what was encoded in this turn of the loop: one system call for many small frames.
+  // Sends the frames encoded in this loop iteration, with one system call for many small frames.
   void FlushConnections();
   void Dial(OutboundConnection* connection);
   void ReceiveResponses(OutboundConnection* connection, std::string_view bytes);
@@ -76,7 +76,7 @@
   void ReceiveRequests(uint64_t inbound_id, std::string_view bytes);
   void SendResponse(uint64_t inbound_id, const PeerFrame& frame);
   void CloseInbound(uint64_t inbound_id);
-  // Destroys the connection in a later turn of the loop.
+  // Destroys the connection in a later loop iteration.
   void DeleteLater(std::unique_ptr<TcpConn> tcp);
 
   Loop* loop_;
--- a/src/mesh/peer_membership.cc
+++ b/src/mesh/peer_membership.cc
@@ -7,15 +7,15 @@
 namespace {
 
 constexpr double kPingIntervalSeconds = 0.3;
-// A peer that responded within this time is alive; three pings fit in.
+// A peer that responded within this time is alive. The time covers three pings.
 constexpr double kLivenessTimeoutSeconds = 1.0;
 constexpr double kSiteSuspicionSeconds = 10;
-constexpr double kRefusalMemorySeconds = 1.5;
-constexpr double kNoResponseSeconds = 1e9;  // no peer ever responded
+constexpr double kRefusalRetentionSeconds = 1.5;
+constexpr double kNoResponseSeconds = 1e9;  // if no peer ever responded
 constexpr double kMillisecondsPerSecond = 1000;
 
-// The frame id of a ping is the time of sending in milliseconds. The response carries the same id,
-// so that no state has to be kept for pings in flight.
+// The frame id of a ping is its send time in milliseconds. The response carries the same id, so
+// that no state is needed for pings in flight.
 uint64_t PingFrameId(double sent_at) {
   return static_cast<uint64_t>(sent_at * kMillisecondsPerSecond);
 }
@@ -159,7 +159,7 @@
 
 bool PeerMembership::RefusesConnections(const std::string& label) const {
   const std::optional<size_t> peer = FindPeer(label);
-  return peer && clock_->Now() - peers_[*peer].last_refused_at < kRefusalMemorySeconds;
+  return peer && clock_->Now() - peers_[*peer].last_refused_at < kRefusalRetentionSeconds;
 }
 
 double PeerMembership::SecondsSinceLastResponse() const {
--- a/src/mesh/peer_network.h
+++ b/src/mesh/peer_network.h
@@ -1,9 +1,9 @@
-// What this controller knows of and exchanges with its peers: membership and remote procedure
-// calls over the same frames. This class only tells the two kinds of frames apart; see
-// peer_membership.h and peer_rpc.h for what each guarantees.
+// Peer membership and remote procedure calls between controllers, over the same frames. This class
+// only dispatches frames to PeerMembership or PeerRpc; see peer_membership.h and peer_rpc.h for
+// their guarantees.
 //
-// Owned by `Controller`. Free of I/O: frames and time come in through the methods, frames go out
-// through the `PeerTransport`. Single-threaded.
+// Owned by `Controller`. Does no I/O itself: received frames are passed to its methods, and frames
+// are sent through the `PeerTransport`. Single-threaded.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,7 @@
 
 class PeerNetwork {
  public:
-  // Sends one frame back over the connection that a request came in on.
+  // Sends one frame over the connection on which a request was received.
   using FrameSender = std::function<void(const PeerFrame&)>;
 
   // See the constructors of `PeerMembership` and `PeerRpc`.
@@ -37,10 +37,10 @@
 
   // Sends due pings and fails expired calls.
   void Tick();
-  // Handles a frame that came in over the outbound connection to the peer: a response.
+  // Handles a response: a frame received on the outbound connection to the peer.
   void HandleResponse(size_t peer, PeerFrame frame);
-  // Handles a frame that came in over a connection that a peer opened: a request. The response is
-  // sent through `send`, at once or later.
+  // Handles a request: a frame received on a connection that a peer opened. The response is sent
+  // through `send`, at once or later.
   void HandleRequest(PeerFrame frame, const FrameSender& send);
 
  private:
--- a/src/mesh/peer_rpc.h
+++ b/src/mesh/peer_rpc.h
@@ -2,11 +2,12 @@
 //
 // Guarantees and invariants:
 //  - The callback of each call is called exactly once: with the response, or with `NoResponse`
-//    after the timeout. It is never called from within `Call`.
-//  - A frame for a controller that can't be reached directly is forwarded by one other peer, once.
-//  - The number of pending calls is bounded; further ones fail at the next tick.
-//  - Calls are at-most-once per attempt, and a call without a response may still have been
-//    executed: callers send only requests that may be repeated.
+//    if the call failed or timed out. It is never called from within `Call`.
+//  - A frame for a controller that can't be reached directly is forwarded at most once, by one
+//    other peer.
+//  - The number of pending calls is bounded; calls beyond the bound fail at the next tick.
+//  - Each call sends its request at most once, and the request may have been executed even if the
+//    call gets no response: callers send only idempotent requests.
 //
 // Owned by `PeerNetwork`. Single-threaded; all times are seconds of the steady clock.
 #pragma once
@@ -26,7 +27,7 @@
 
 // A request or response, by its type.
 using PeerMessage = decltype(PeerFrame::body);
-// The alternative of a `PeerMessage` that stands for a call that failed or timed out.
+// The alternative of a `PeerMessage` that reports a call that failed or timed out.
 using NoResponse = std::monostate;
 
 class PeerRpc {
@@ -40,12 +41,12 @@
   PeerRpc(PeerTransport* transport, const Clock* clock, const PeerMembership* membership,
           size_t max_pending_calls, RequestHandler request_handler);
 
-  // Sends a request to the controller with this label. `done` is called with `NoResponse` at the
-  // next tick when there is no route to it, and otherwise after `timeout_s` seconds at the latest.
+  // Sends a request to the controller with this label. Without a route to it, `done` is called with
+  // `NoResponse` at the next tick; otherwise `done` is called after at most `timeout_s` seconds.
   void Call(const std::string& label, PeerMessage request, double timeout_s, ResponseCallback done);
-  // Serves a request of a peer, or forwards it when it is for another controller.
+  // Serves a request of a peer, or forwards it if it is for another controller.
   void HandleRequest(PeerFrame frame, ResponseCallback respond);
-  // Completes the call that this frame responds to; ignored when it is no longer pending.
+  // Completes the call that this frame responds to; ignores the frame if the call is not pending.
   void HandleResponse(PeerFrame frame);
   // Completes the calls whose deadline has passed.
   void FailExpiredCalls(double now);
@@ -65,7 +66,7 @@
   size_t max_pending_calls_;
   RequestHandler request_handler_;
   std::map<uint64_t, PendingCall> pending_calls_;  // by call id
-  uint64_t next_call_id_ = 1;                      // 0 is no call
+  uint64_t next_call_id_ = 1;                      // 0 is not a call id
 };
 
 }  // namespace deckhall
--- a/src/mesh/peer_transport.h
+++ b/src/mesh/peer_transport.h
@@ -1,5 +1,5 @@
-// The interface through which frames leave for the peers. `PeerConnections` implements it over TCP;
-// the tests implement it in memory.
+// The interface for sending frames to peers. `PeerConnections` implements it over TCP; the tests
+// implement it in memory.
 #pragma once
 
 #include <cstddef>
@@ -8,14 +8,14 @@
 
 namespace deckhall {
 
-// One outbound connection to each peer. Peers are numbered by their position in the settings.
+// One outbound connection to each peer. Peers are identified by their position in the settings.
 class PeerTransport {
  public:
   virtual ~PeerTransport() = default;
   // True while the outbound connection to the peer is established.
   virtual bool IsConnected(size_t peer) const = 0;
-  // Sends the frame at most once. It is dropped silently when there is no connection or too much
-  // is buffered on it: callers rely on their own timeouts.
+  // Sends the frame at most once. The frame is dropped silently if there is no connection or its
+  // buffer limit is reached, so callers need their own timeouts.
   virtual void Send(size_t peer, const PeerFrame& frame) = 0;
 };
 
--- a/tests/leader_test.cc
+++ b/tests/leader_test.cc
@@ -69,7 +69,7 @@
   World w;
   w.Lead();
   auto& m = w.Machine("m-1", "east");
-  m.report.fencing_token = (w.leader->term() + 1) << kTermShift;
+  m.report.fencing_token = (w.leader->term() + 1) << kTermShiftBits;
   ++m.report.sequence;
   w.lease.until = w.clock.now - 0.1;
   EXPECT_EQ(w.leader->HandleHeartbeat(m.report).status, 421);
--- a/tests/trouble_test.cc
+++ b/tests/trouble_test.cc
@@ -308,7 +308,7 @@
   copy.zone = "east";
   copy.agent_epoch = 1;
   copy.sequence = 90;
-  copy.fencing_token = (w.leader->term() - 1) << kTermShift;
+  copy.fencing_token = (w.leader->term() - 1) << kTermShiftBits;
   w.leader->HandleHeartbeat(copy);
   w.Submit(w.Service("job-1", 1));
   w.clock.now += 0.25;
@@ -357,7 +357,7 @@
   EXPECT_EQ(a.started.size(), 1U);
   EXPECT_EQ(w.leader->implausible_heartbeats(), 2U);
   w.lease.until = w.clock.now - 1;
-  odd.fencing_token = (w.leader->term() + 1) << kTermShift;
+  odd.fencing_token = (w.leader->term() + 1) << kTermShiftBits;
   w.leader->HandleHeartbeat(odd);
   EXPECT_TRUE(w.deposed);
 }
