--- a/src/api/http_api.cc
+++ b/src/api/http_api.cc
@@ -15,12 +15,12 @@
 constexpr const char* kHealthyBody = "{\"up\":true}";
 constexpr const char* kUnhealthyBody = "{\"up\":false}";
 
-// The errors that the API itself finds; the backend finds the others.
+// Errors that the API itself detects; the backend detects all others.
 enum class ApiError { kUnknownPath, kUnknownJob, kMethodNotAllowed, kMalformedHeartbeat };
 
 struct ErrorDescription {
   int status;
-  const char* text;  // of the body; clients rely on its form
+  const char* text;  // error text in the body; clients match it
 };
 
 ErrorDescription Describe(ApiError error) {
@@ -104,7 +104,7 @@
   } else {
     submission.validation_error = DescribeError(parsed.spec.error());
   }
-  // An invalid submission with a usable id goes on: the job may be known already.
+  // An invalid submission with a valid id is still sent to the backend, which may know the job.
   if (submission.job_id.empty()) {
     reply(ErrorResponse(http_status::kBadRequest, submission.validation_error));
     return;
@@ -127,7 +127,7 @@
 
 void HttpApi::SendToBackend(JobRequest request, const HttpServer::Reply& reply) {
   const double received_at = clock_->Now();
-  JobRequest header;  // all that the response depends on, without the job itself
+  JobRequest header;  // the request without its job, sufficient to encode the response
   header.operation = request.operation;
   header.job_id = request.job_id;
   auto respond = [this, header, received_at, reply](const JobResponse& job_response) {
--- a/src/api/http_api.h
+++ b/src/api/http_api.h
@@ -20,12 +20,12 @@
 // |                            | 404      | never accepted                              |
 // |                            | 503      | retry later                                 |
 //
-// Any other path gets 404, and another method on one of these gets 405 with `Allow`. Every error
-// but that of /up has a body that names it. Source: PROTOCOL, "Users -> controller nodes" and
-// "Workers -> controller nodes"; 405 is that of RFC 9110.
+// Any other path gets 404, and any other method on one of these paths gets 405 with `Allow`. Every
+// error response except that of /up has a body with the error text. Source: PROTOCOL, "Users ->
+// controller nodes" and "Workers -> controller nodes"; 405 follows RFC 9110.
 //
-// Guarantee: each request gets one reply, at once or when the backend has answered. This class
-// decodes, routes and encodes; it decides nothing about jobs or workers.
+// Guarantee: each request gets one reply, immediately or when the backend has responded. This class
+// decodes, routes and encodes; all decisions about jobs and workers are made by the backend.
 //
 // Owned by `Process`. Single-threaded.
 #pragma once
@@ -46,20 +46,20 @@
   using JobResponseCallback = std::function<void(JobResponse)>;
   using HeartbeatResponseCallback = std::function<void(HeartbeatResponse)>;
 
-  // Serves the decoded requests. Each callback must be called once, at once or later.
+  // Serves the decoded requests. Each callback must be called once, immediately or later.
   struct Backend {
     std::function<void(JobRequest, JobResponseCallback)> handle_job_request;
     std::function<void(Heartbeat, HeartbeatResponseCallback)> handle_heartbeat;
-    // Whether this controller can take requests.
+    // Whether this controller can serve users.
     std::function<bool()> is_healthy;
   };
 
   // `clock` must outlive this object; this object must outlive the backend's callbacks.
   HttpApi(const Clock* clock, Backend backend);
 
-  // Serves one request; `reply` is called once, at once or later.
+  // Serves one request. `reply` is called once, immediately or later.
   void Handle(const HttpMessage& request, const HttpServer::Reply& reply);
-  // Logs latency and outcomes of the submissions since the last call.
+  // Logs the latency and the outcomes of the submissions since the last call.
   void LogSubmissionStatistics() { submission_statistics_.LogAndReset(); }
 
  private:
--- a/src/api/routes.cc
+++ b/src/api/routes.cc
@@ -19,8 +19,8 @@
     {RouteId::kCancelJob, "POST", "/api/jobs/{id}/cancel"},
 };
 
-// The part of the path in place of the placeholder; empty for patterns without one. None when the
-// path does not match.
+// The part of the path that matches the placeholder; empty for a pattern without a placeholder.
+// std::nullopt if the path does not match.
 std::optional<std::string_view> MatchPattern(std::string_view pattern, std::string_view path) {
   const size_t placeholder = pattern.find(kIdPlaceholder);
   if (placeholder == std::string_view::npos) {
@@ -32,7 +32,7 @@
   if (!path.starts_with(prefix) || !path.ends_with(suffix)) return std::nullopt;
   const std::string_view id =
       path.substr(prefix.size(), path.size() - prefix.size() - suffix.size());
-  // "/api/jobs/" names a job that can't exist, but "/api/jobs//cancel" is no path of the API.
+  // "/api/jobs/" names a job that can't exist; "/api/jobs//cancel" is not a path of the API.
   const bool missing = id.empty() && !suffix.empty();
   if (missing || id.find('/') != std::string_view::npos) return std::nullopt;
   return id;
--- a/src/api/routes.h
+++ b/src/api/routes.h
@@ -20,11 +20,11 @@
 
 struct RouteMatch {
   RouteId route = RouteId::kHealth;
-  const char* method = "";  // the only one allowed
-  std::string job_id;       // in place of {id}, unchecked; empty for routes without one
+  const char* method = "";  // the only allowed method
+  std::string job_id;  // the part that matches {id}, not validated; empty for routes without {id}
 };
 
-// The route of a path without its query; none when the path is unknown.
+// The route of a path, which must not include the query; std::nullopt if the path is unknown.
 std::optional<RouteMatch> MatchRoute(std::string_view path);
 
 }  // namespace deckhall
--- a/src/api/submission_statistics.cc
+++ b/src/api/submission_statistics.cc
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr unsigned kLatencyBins = 40;
-constexpr double kShortestLatencyMilliseconds = 0.5;
-constexpr double kLongestLatencyMilliseconds = 10000.0;
+constexpr double kMinLatencyMilliseconds = 0.5;
+constexpr double kMaxLatencyMilliseconds = 10000.0;
 constexpr double kMillisecondsPerSecond = 1000;
 constexpr double kMedian = 0.5;
 constexpr double kHighPercentile = 0.97;
@@ -18,21 +18,21 @@
 
 SubmissionStatistics::SubmissionStatistics()
     : latency_ms_(boost::histogram::make_histogram(
-          LatencyAxis(kLatencyBins, kShortestLatencyMilliseconds, kLongestLatencyMilliseconds))) {}
+          LatencyAxis(kLatencyBins, kMinLatencyMilliseconds, kMaxLatencyMilliseconds))) {}
 
 void SubmissionStatistics::Record(int status, double latency_s) {
   ++answered_;
   if (status >= http_status::kFirstUnsuccessful) ++refused_;
   // The logarithmic axis has no bin for 0.
-  latency_ms_(latency_s * kMillisecondsPerSecond + kShortestLatencyMilliseconds);
+  latency_ms_(latency_s * kMillisecondsPerSecond + kMinLatencyMilliseconds);
 }
 
 double SubmissionStatistics::LatencyPercentile(double fraction) const {
-  const double wanted = fraction * static_cast<double>(answered_);
-  double counted = 0;
+  const double target_count = fraction * static_cast<double>(answered_);
+  double cumulative_count = 0;
   for (auto&& bin : boost::histogram::indexed(latency_ms_, boost::histogram::coverage::all)) {
-    counted += *bin;
-    if (counted >= wanted) return bin.bin().upper();
+    cumulative_count += *bin;
+    if (cumulative_count >= target_count) return bin.bin().upper();
   }
   return 0;
 }
--- a/src/app/controller.cc
+++ b/src/app/controller.cc
@@ -10,20 +10,21 @@
 namespace deckhall {
 namespace {
 
-// Users wait 2 s for the response to a status request and 5 s for any other, workers 4 s for that
-// to a heartbeat; each timeout leaves time for the response's way back.
+// Users wait 2 s for the response to a status request and 5 s for that to any other request,
+// workers 4 s for that to a heartbeat. Each timeout leaves time to return the response.
 constexpr double kStatusForwardTimeoutSeconds = 1.5;
 constexpr double kSubmitForwardTimeoutSeconds = 3.0;
 constexpr double kHeartbeatForwardTimeoutSeconds = 2.0;
 
-// Status requests that are admitted for each message that the workers exchange with the leader.
+// Status requests that all controllers admit for each request to a worker that the leader's
+// processor quota allows for.
 constexpr double kStatusRequestsPerMessage = 1.5;
 constexpr double kRefusalLogIntervalSeconds = 60;
 constexpr int kStatusRetryAfterSeconds = 2;
 
 constexpr double kUnreachableWorkersTimeoutSeconds = 2;
-// Within this time a peer must have responded: the fault is then between this controller and the
-// workers, and another controller may reach them.
+// The leader resigns only if a peer has responded within this time: the fault is then between this
+// controller and the workers, and another controller may reach them.
 constexpr double kResignPeerContactSeconds = kUnreachableWorkersTimeoutSeconds / 2;
 constexpr double kResignPauseSeconds = 20;
 
@@ -178,7 +179,7 @@
       response.status == http_status::kOk || response.status == http_status::kCreated;
   const bool unknown = response.status == http_status::kNotFound;
   if (!exists && !unknown) return;
-  status_rate_limiter_.RecordAnswer(job_id, exists, ports_.clock->Now());
+  status_rate_limiter_.RecordResponse(job_id, exists, ports_.clock->Now());
 }
 
 bool Controller::ServeLocally(const JobRequest& request, const JobResponseCallback& done) {
@@ -242,8 +243,8 @@
 
 HeartbeatResponse Controller::NoLeaderHeartbeatResponse() const {
   HeartbeatResponse response;
-  // The controllers may be partitioned while the state service still shows who leads: the worker
-  // may reach that controller.
+  // When the controllers are partitioned from each other, the state service may still name the
+  // leader, and the worker may be able to reach it.
   const std::string& leader = election_.leader_label();
   if (leader != settings_.label && peer_network_.membership().RefusesConnections(leader)) {
     response.status = http_status::kMisdirectedRequest;
--- a/src/app/controller.h
+++ b/src/app/controller.h
@@ -1,10 +1,10 @@
-// One controller without its connections: it takes part in the election, runs the `Leader` while it
-// leads, and otherwise forwards requests to the controller that does.
+// A controller node without its network connections: takes part in the election, runs the `Leader`
+// while it leads, and otherwise forwards requests to the leading controller.
 //
 // Guarantees and invariants:
-//  - Every request of a user or a worker is answered once: by the leader here, by the leading
-//    controller, or with a status that makes the client retry.
-//  - Heartbeats are answered on behalf of the controllers only while this one holds the leader key.
+//  - Every request of a user or a worker gets one response: from this controller's leader, from the
+//    leading controller, or with a status that makes the client retry.
+//  - Heartbeats are processed here only while this controller holds the leader key.
 //  - Free of I/O: requests, responses and time come in through the methods, actions go out through
 //    `ControllerPorts`. `Process` connects these to sockets, the tests to a simulated cluster.
 //
@@ -29,7 +29,7 @@
 
 namespace deckhall {
 
-// What a controller acts on. All of it must outlive the controller.
+// The services, the network and the clock that a controller uses. All must outlive the controller.
 struct ControllerPorts {
   KeyValueStore* key_value_store = nullptr;
   CloudProvider* cloud = nullptr;
@@ -38,8 +38,8 @@
   const Clock* clock = nullptr;
 };
 
-// The status requests per second that one controller admits. Those that all controllers admit end
-// at the leader, and must leave it capacity for heartbeats, submissions and scheduling.
+// The status requests per second that one controller admits. The leader serves those of all
+// controllers and needs capacity for heartbeats, submissions and scheduling besides.
 double StatusRequestsPerSecond(const Settings& settings, const Tuning& tuning);
 
 class Controller : public LeadershipLease {
@@ -53,19 +53,19 @@
   Controller(const Controller&) = delete;
   Controller& operator=(const Controller&) = delete;
 
-  // Does all that is due; called often, and soon after `on_work`.
+  // Does the work that is due. Called periodically, and soon after `on_work`.
   void Tick();
   // Offers the disruption policy of this controller's own file to all controllers.
   void OfferPolicy(std::shared_ptr<const DisruptionPolicy> policy) {
     policy_replicator_.Offer(std::move(policy));
   }
-  // Serves a user's request. `done` is called once, at once or later; with 503 while no leader can
-  // be reached, or when a status request exceeds the rate limit.
+  // Serves a user's request. `done` is called once, immediately or later; with 503 while no leader
+  // can be reached, or when a status request exceeds the rate limit.
   void HandleJobRequest(JobRequest request, JobResponseCallback done);
-  // Serves a worker's heartbeat. `done` is called once, at once or later; with 503, or with 421 and
-  // the leader's label, while the leader can't be reached.
+  // Serves a worker's heartbeat. `done` is called once, immediately or later; with 503, or with 421
+  // and the leader's label, while the leader can't be reached.
   void HandleHeartbeat(Heartbeat heartbeat, HeartbeatResponseCallback done);
-  // Whether this controller can serve users; the answer of GET /up.
+  // Whether this controller can serve users; reported by GET /up.
   bool IsHealthy() const { return health_.IsHealthy(ports_.clock->Now()); }
 
   PeerNetwork& peer_network() { return peer_network_; }
@@ -83,12 +83,12 @@
   void StartLeading(uint64_t term);
   void StopLeading();
   LeaderPorts BuildLeaderPorts();
-  // The zone of the controller that led before this one; empty when unknown.
+  // The zone of the controller that led before this one; empty if unknown.
   std::string FormerLeaderZone() const;
-  // Tells the peers whether this controller leads.
+  // Notifies the peers whether this controller leads.
   void AnnounceLeadership();
   void TickLeader();
-  // Lets another controller lead when most workers can't be reached from this one.
+  // Resigns in favour of another controller when most workers can't be reached from this one.
   void ResignIfWorkersUnreachable();
   // Stops leading when a peer announced a higher term.
   void HandleHigherTerm(uint64_t term);
@@ -96,16 +96,16 @@
   // Whether the rate limit admits a status request about the job.
   bool AdmitStatusRequest(const std::string& job_id);
   void LogStatusRefusal(double now);
-  // Tells the rate limiter what the user was told about the job.
+  // Records in the rate limiter that the user got the state of the job, or that it is unknown.
   void RecordStatusResponse(const std::string& job_id, const JobResponse& response);
-  // Serves the request if this controller leads; otherwise returns false and drops `done`.
+  // Serves the request if this controller leads; otherwise returns false and never calls `done`.
   bool ServeLocally(const JobRequest& request, const JobResponseCallback& done);
   void ForwardJobRequest(JobRequest request, JobResponseCallback done);
   void ForwardHeartbeat(const std::string& leader, Heartbeat heartbeat,
                         HeartbeatResponseCallback done);
   // The response to a heartbeat while no leader can be reached.
   HeartbeatResponse NoLeaderHeartbeatResponse() const;
-  // The label of another controller that leads; empty when none is known.
+  // The label of another controller that leads; empty if none is known.
   std::string RemoteLeader() const;
 
   // Serves a request that a peer forwarded or sent to this controller.
--- a/src/app/controller_files.h
+++ b/src/app/controller_files.h
@@ -1,4 +1,4 @@
-// The files that are named on the command line.
+// Reading of the files that are named on the command line.
 #pragma once
 
 #include <string>
@@ -9,20 +9,20 @@
 
 namespace deckhall {
 
-// Paths; only the first file is required, the others are left out when the path is empty.
+// Paths of the files. Only the settings are required; an empty path means that there is no file.
 struct FilePaths {
-  std::string settings;  // the platform's (JSON)
-  std::string tuning;    // the operators' (S-expression)
+  std::string settings;  // settings of the platform (JSON)
+  std::string tuning;    // tuning by the operators (S-expression)
   std::string policy;    // disruption budgets and drains (S-expression)
 };
 
-// What a controller starts with.
+// The configuration with which a controller starts.
 struct Configuration {
   Settings settings;
   Tuning tuning;
 };
 
-// Why a file can't be used.
+// The reason why a file can't be used.
 struct FileError {
   std::string path;
   std::string reason;
@@ -32,7 +32,7 @@
 std::string DescribeError(const FileError& error);
 
 // Reads and checks the files, in the order of the paths. The policy is only checked: the running
-// controller reads it again whenever it changes (PolicyFile).
+// controller reads it itself, again after each change (PolicyFile).
 Result<Configuration, FileError> ReadConfiguration(const FilePaths& paths);
 
 }  // namespace deckhall
--- a/src/app/drains_command.cc
+++ b/src/app/drains_command.cc
@@ -22,7 +22,7 @@
   double Wall() const override { return WallSeconds(); }
 };
 
-std::string Ago(double seconds) {
+std::string FormatDuration(double seconds) {
   const auto s = static_cast<long>(std::max(0.0, seconds));
   char text[40];
   if (s < 120) {
@@ -35,7 +35,7 @@
   return text;
 }
 
-std::string Count(uint64_t n, const char* what) { return std::to_string(n) + " " + what; }
+std::string FormatCount(uint64_t n, const char* suffix) { return std::to_string(n) + " " + suffix; }
 
 }  // namespace
 
@@ -59,19 +59,21 @@
   if (records.drains.empty()) return "no drains\n";
   std::string out;
   for (const DrainProgress& d : records.drains) {
-    out += d.drain + ": " + DrainStateName(d.state) + " for " + Ago(wall - d.since_wall) + "; " +
-           Count(d.machines_done, "machines done, ") + Count(d.machines_left, "left; ") +
-           Count(d.replicas_moved, "replicas moved, ") + Count(d.replicas_moving, "moving; ") +
-           Count(d.tasks_stopped, "tasks of arrays stopped; ") +
-           Count(d.steps_given_up, "steps given up\n");
+    out +=
+        d.drain + ": " + DrainStateName(d.state) + " for " + FormatDuration(wall - d.since_wall) +
+        "; " + FormatCount(d.machines_done, "machines done, ") +
+        FormatCount(d.machines_left, "left; ") + FormatCount(d.replicas_moved, "replicas moved, ") +
+        FormatCount(d.replicas_moving, "moving; ") +
+        FormatCount(d.tasks_stopped, "tasks of arrays stopped; ") +
+        FormatCount(d.steps_given_up, "steps given up\n");
     if (d.state != DrainState::kDone && !d.why.empty()) {
-      out += "  waits for " + Ago(wall - d.waiting_since_wall) + ": " + d.why + "\n";
+      out += "  waits for " + FormatDuration(wall - d.waiting_since_wall) + ": " + d.why + "\n";
     }
     if (d.state == DrainState::kDone && d.machines_done == 0) out += "  no machine matched\n";
     for (const EvictionRecord& eviction : records.evictions) {
       if (eviction.drain != d.drain) continue;
       out += "  moving " + eviction.job + "/" + std::to_string(eviction.task) + " off " +
-             eviction.machine + " for " + Ago(wall - eviction.since_wall) + "\n";
+             eviction.machine + " for " + FormatDuration(wall - eviction.since_wall) + "\n";
     }
   }
   return out;
--- a/src/app/drains_command.h
+++ b/src/app/drains_command.h
@@ -1,4 +1,4 @@
-// `deckhall drains`: shows how far each drain has come, as the leader last wrote it to the state
+// `deckhall drains`: shows the progress of each drain, as last stored by the leader in the state
 // service.
 #pragma once
 
@@ -10,18 +10,19 @@
 
 namespace deckhall {
 
-// What is durable of drains.
+// The stored records of drains and their evictions.
 struct DrainRecords {
   std::vector<DrainProgress> drains;
   std::vector<EvictionRecord> evictions;
 
-  // Adds what one page of the record store has; records of other kinds are passed over.
+  // Adds the records of one page of the record store. Records of other types are skipped.
   void AddPage(const std::string& page);
 };
 
-// What is shown to operators. `wall` is the time of day in seconds since 1970.
+// The progress report for operators. `wall` is the current time in seconds since 1970.
 std::string DescribeDrains(const DrainRecords& records, double wall);
-// Reads the state service and prints. Returns the exit status: 1 when it does not answer.
+// Reads the records from the state service and prints the report. Returns the exit status: 1 if the
+// state service does not respond.
 int PrintDrains(const Settings& settings);
 
 }  // namespace deckhall
--- a/src/app/leader_lifecycle.cc
+++ b/src/app/leader_lifecycle.cc
@@ -7,7 +7,7 @@
 namespace deckhall {
 namespace {
 
-// Longer than any request of a leader lasts.
+// Longer than the timeout of any request that a leader sends.
 constexpr double kRetiredLeaderRetentionSeconds = 15;
 
 }  // namespace
--- a/src/app/leader_lifecycle.h
+++ b/src/app/leader_lifecycle.h
@@ -1,9 +1,10 @@
-// The lifecycle of this controller's `Leader` objects: one is started for each term that the
-// controller leads, retired when the term ends, and destroyed some time later.
+// The lifecycle of this controller's `Leader` objects: one is started for each term that this
+// controller leads, retired when the term ends, and destroyed after a retention time.
 //
-// Invariants: at most one leader is current; a retired one takes no requests and sends none, but it
-// stays in memory until the last of its requests has been answered or has timed out, because their
-// callbacks point to it. So a leader may be retired from within one of its own methods.
+// Invariants: at most one leader is current. A retired leader accepts and sends no requests, but it
+// stays in memory until its last outstanding request has been answered or has timed out, because
+// the callbacks of these requests point to it. So a leader may be retired from within one of its
+// own methods.
 //
 // Owned by `Controller`. Single-threaded; all times are seconds of the steady clock.
 #pragma once
@@ -28,15 +29,15 @@
   Leader* CreateLeader(const LeaderPorts& ports, uint64_t term);
   // Retires the current leader, if there is one.
   void RetireLeader();
-  // Destroys the leaders that retired long enough before `now`.
+  // Destroys the leaders whose retention time is over at `now`.
   void DestroyRetiredLeaders(double now);
 
-  // The leader of the present term; null while this controller does not lead.
+  // The leader of the current term; null while this controller does not lead.
   Leader* current() { return current_.get(); }
   const Leader* current() const { return current_.get(); }
   // Whether there is a leader that has loaded the stored records, and so can serve users.
   bool HasLoadedLeader() const { return current_ && current_->loaded(); }
-  // When the latest term of this controller began; 0 before the first.
+  // When this controller was last elected; 0 before its first term.
   double elected_at() const { return elected_at_; }
 
  private:
--- a/src/app/main.cc
+++ b/src/app/main.cc
@@ -1,5 +1,5 @@
-// The command line of deckhall: parses the arguments and starts what they ask for. The exit status
-// is 2, after one line on standard error, when the arguments or a file can't be used.
+// The command line of deckhall: parses the arguments and runs the subcommand. If the arguments or a
+// file are invalid, prints one line to standard error and exits with status 2.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -34,7 +34,7 @@
 }
 
 int Serve(const deckhall::Configuration& configuration, const std::string& policy_path) {
-  // A peer that closes its connection is an error of that write, not the end of the process.
+  // Writing to a connection that the peer has closed must fail, not kill the process.
   std::signal(SIGPIPE, SIG_IGN);
   SetUpLog(configuration.settings.label);
   try {
@@ -57,12 +57,12 @@
   app.require_subcommand(1);
   deckhall::FilePaths paths;
   auto* serve = app.add_subcommand("serve", "run a controller until it is killed");
-  auto* check = app.add_subcommand("check", "check the files, and stop");
-  auto* drains = app.add_subcommand("drains", "show how far each drain has come, and stop");
+  auto* check = app.add_subcommand("check", "check the files and exit");
+  auto* drains = app.add_subcommand("drains", "show the progress of each drain and exit");
   for (auto* command : {serve, check, drains}) {
-    command->add_option("--config", paths.settings, "the platform's settings (JSON)")->required();
+    command->add_option("--config", paths.settings, "settings of the platform (JSON)")->required();
     if (command == drains) continue;
-    command->add_option("--tuning", paths.tuning, "the operators' settings (S-expression)");
+    command->add_option("--tuning", paths.tuning, "tuning by the operators (S-expression)");
     command->add_option("--disruption", paths.policy,
                         "disruption budgets and drains (S-expression)");
   }
--- a/src/app/policy_file.cc
+++ b/src/app/policy_file.cc
@@ -31,19 +31,19 @@
 std::shared_ptr<const DisruptionPolicy> PolicyFile::ReadIfChanged() {
   if (path_.empty()) return nullptr;
   std::error_code error;
-  Version now;
-  now.time = std::filesystem::last_write_time(path_, error);
-  if (!error) now.size = std::filesystem::file_size(path_, error);
+  FileVersion version;
+  version.time = std::filesystem::last_write_time(path_, error);
+  if (!error) version.size = std::filesystem::file_size(path_, error);
   if (error) {
-    if (seen_) spdlog::error("{}: {}; the policy in force stays", path_, error.message());
-    seen_.reset();
+    if (last_version_) spdlog::error("{}: {}; keeping the policy in force", path_, error.message());
+    last_version_.reset();
     return nullptr;
   }
-  if (seen_ == now) return nullptr;
-  seen_ = now;
+  if (last_version_ == version) return nullptr;
+  last_version_ = version;
   auto policy = LoadPolicyFile(path_, *settings_);
   if (!policy.has_value()) {
-    spdlog::error("{}: {}; the policy in force stays", path_, DescribeError(policy.error()));
+    spdlog::error("{}: {}; keeping the policy in force", path_, DescribeError(policy.error()));
     return nullptr;
   }
   return std::make_shared<const DisruptionPolicy>(std::move(policy.value()));
--- a/src/app/policy_file.h
+++ b/src/app/policy_file.h
@@ -1,4 +1,4 @@
-// The disruption file of one controller: read at the start, and again when it changes.
+// The file with the disruption policy of one controller, read at start-up and after each change.
 #pragma once
 
 #include <filesystem>
@@ -10,30 +10,30 @@
 
 namespace deckhall {
 
-// Reads and checks the file, also whether the policy fits a value of the state service.
+// Reads and checks the file, also that the encoded policy fits into one value of the state service.
 Result<DisruptionPolicy, PolicyError> LoadPolicyFile(const std::string& path,
                                                      const Settings& settings);
 
 class PolicyFile {
  public:
-  // Without a path there is none, and nothing is ever read.
+  // With an empty `path` there is no policy file, and nothing is ever read.
   PolicyFile(std::string path, const Settings* settings)
       : path_(std::move(path)), settings_(settings) {}
 
-  // The policy if the file was changed since the last call and is good; null otherwise. A bad
-  // file is logged once, and what was read before stays in force.
+  // The policy, if the file has changed since the last call and is valid; null otherwise. An
+  // invalid file is logged once, and the policy read before stays in force.
   std::shared_ptr<const DisruptionPolicy> ReadIfChanged();
 
  private:
-  struct Version {
+  struct FileVersion {
     std::filesystem::file_time_type time;
     uintmax_t size = 0;
-    bool operator==(const Version&) const = default;
+    bool operator==(const FileVersion&) const = default;
   };
 
   std::string path_;
   const Settings* settings_;
-  std::optional<Version> seen_;
+  std::optional<FileVersion> last_version_;
 };
 
 }  // namespace deckhall
--- a/src/app/process.cc
+++ b/src/app/process.cc
@@ -12,7 +12,7 @@
 constexpr double kHousekeepingIntervalSeconds = 60;
 constexpr double kPolicyCheckIntervalSeconds = 2;
 
-// A random id of this process; never 0.
+// A random identifier of this process; never 0.
 uint64_t RandomInstance() {
   std::random_device device;
   return (static_cast<uint64_t>(device()) << 32 | device()) | 1;
--- a/src/app/process.h
+++ b/src/app/process.h
@@ -1,8 +1,8 @@
 // The controller process: connects a `Controller` and its `HttpApi` to the event loop, the sockets
-// and the system's clocks. It only wires things; every decision is in the parts.
+// and the system's clocks. It only connects these components and decides nothing itself.
 //
-// Owned by main(). The parts are destroyed in reverse order of their declaration, so each may refer
-// to those above it.
+// Owned by main(). The members are destroyed in reverse order of their declaration, so each may
+// refer to those above it.
 #pragma once
 
 #include <memory>
@@ -28,8 +28,8 @@
 class Process {
  public:
   // Listens on the addresses in the settings and serves requests while the loop runs. With an empty
-  // `disruption_file` there are neither budgets nor drains. Throws std::runtime_error when an
-  // address can't be used.
+  // `disruption_file` this controller applies neither budgets nor drains. Throws std::runtime_error
+  // when an address can't be used.
   Process(Loop* loop, const Settings& settings, const Tuning& tuning,
           const std::string& disruption_file);
   Process(const Process&) = delete;
@@ -40,7 +40,7 @@
   HttpApi::Backend BuildBackend();
   void Tick();
   void CheckPolicyFile(double now);
-  // Logs statistics and closes connections that are not needed any more.
+  // Logs statistics and closes idle connections to workers.
   void DoHousekeeping(double now);
 
   SystemClock clock_;
@@ -52,7 +52,8 @@
   HttpApi http_api_;
   HttpServer server_;
   Timer tick_timer_;
-  Timer immediate_tick_;  // at the end of this turn of the loop, when the controller has work
+  Timer immediate_tick_;  // fires at the end of the current loop iteration when the controller has
+                          // work
   Settings settings_;
   PolicyFile policy_file_;
   double next_housekeeping_at_ = 0;
--- a/src/app/request_forwarder.cc
+++ b/src/app/request_forwarder.cc
@@ -7,7 +7,7 @@
 namespace deckhall {
 namespace {
 
-// Lets a failover end before users are told to retry.
+// Gives a failover time to complete before users have to retry.
 constexpr double kLeaderlessGracePeriodSeconds = 1;
 
 }  // namespace
@@ -31,8 +31,8 @@
   const double remaining_s = pending.deadline - clock_->Now();
   auto handle_response = [this, request_id, target](const PeerMessage& message) {
     const auto it = pending_.find(request_id);
-    const bool outdated = it == pending_.end() || it->second.target != target;
-    if (outdated) return;
+    const bool superseded = it == pending_.end() || it->second.target != target;
+    if (superseded) return;
     const auto* response = std::get_if<JobResponse>(&message);
     Complete(request_id, response == nullptr ? NoLeaderResponse() : *response);
   };
@@ -48,11 +48,11 @@
 }
 
 void RequestForwarder::Redirect(const std::string& leader) {
-  std::vector<uint64_t> elsewhere;
+  std::vector<uint64_t> misdirected;
   for (const auto& [request_id, pending] : pending_) {
-    if (pending.target != leader) elsewhere.push_back(request_id);
+    if (pending.target != leader) misdirected.push_back(request_id);
   }
-  for (const uint64_t request_id : elsewhere) {
+  for (const uint64_t request_id : misdirected) {
     const JobRequest request = pending_.at(request_id).request;
     const auto done = [this, request_id](const JobResponse& response) {
       Complete(request_id, response);
@@ -61,7 +61,7 @@
       SendTo(leader, request_id);
       continue;
     }
-    // If it is still pending, responses of its former target are outdated from now on.
+    // If the request is still pending, responses of its former target are ignored from now on.
     const auto it = pending_.find(request_id);
     if (it != pending_.end()) it->second.target = leader;
   }
--- a/src/app/status_rate_limiter.cc
+++ b/src/app/status_rate_limiter.cc
@@ -14,36 +14,36 @@
     : rate_(rate), bucket_(rate, rate), overdue_or_unanswered_refused_at_(kNever) {}
 
 bool StatusRateLimiter::Admit(const std::string& job, double now) {
-  ForgetOldJobs(now);
-  const auto known = jobs_.find(job);
-  const bool answered = known != jobs_.end() && now < known->second.answered_until;
-  const bool overdue = known != jobs_.end() && known->second.exists && !answered;
+  RemoveExpiredJobs(now);
+  const auto found = jobs_.find(job);
+  const bool answered = found != jobs_.end() && now < found->second.answered_until;
+  const bool overdue = found != jobs_.end() && found->second.exists && !answered;
   if (answered) {
     return now >= overdue_or_unanswered_refused_at_ + kCatchUpSeconds &&
-           bucket_.Take(now, kTokensPerRequest, rate_ * kKeptForUnanswered);
+           bucket_.Take(now, kTokensPerRequest, rate_ * kReservedForUnansweredShare);
   }
-  if (!bucket_.Take(now, kTokensPerRequest, overdue ? 0 : rate_ * kKeptForOverdue)) {
+  if (!bucket_.Take(now, kTokensPerRequest, overdue ? 0 : rate_ * kReservedForOverdueShare)) {
     overdue_or_unanswered_refused_at_ = now;
     return false;
   }
-  jobs_[job].answered_until = now + kAnswerExpectedSeconds;
+  jobs_[job].answered_until = now + kResponseTimeoutSeconds;
   return true;
 }
 
-void StatusRateLimiter::RecordAnswer(const std::string& job, bool exists, double now) {
+void StatusRateLimiter::RecordResponse(const std::string& job, bool exists, double now) {
   Entry& entry = jobs_[job];
-  entry.answered_until = now + kAnswerLastsSeconds;
+  entry.answered_until = now + kOverdueAfterSeconds;
   entry.exists = exists;
 }
 
-void StatusRateLimiter::ForgetOldJobs(double now) {
+void StatusRateLimiter::RemoveExpiredJobs(double now) {
   if (now < next_cleanup_at_) return;
-  next_cleanup_at_ = now + kAnswerLastsSeconds;
+  next_cleanup_at_ = now + kOverdueAfterSeconds;
   std::erase_if(jobs_, [now](const auto& item) {
     const Entry& entry = item.second;
-    // An existing job stays for a while once it is overdue, so that its class is known.
-    const double kept_s = entry.exists ? 2 * kAnswerLastsSeconds : 0;
-    return now > entry.answered_until + kept_s;
+    // An existing job is kept for some time after it became overdue, so that its class is known.
+    const double retention_s = entry.exists ? 2 * kOverdueAfterSeconds : 0;
+    return now > entry.answered_until + retention_s;
   });
 }
 
--- a/src/config/peer.h
+++ b/src/config/peer.h
@@ -7,11 +7,11 @@
 
 namespace deckhall {
 
-// Another controller of the same cluster. Plain data, constant while the process runs.
+// Another controller of the same cluster. Constant while the process runs.
 struct Peer {
   std::string label;  // unique among the controllers
-  std::string site;   // the zone that it runs in
-  Endpoint at;        // where it accepts connections of its peers
+  std::string site;   // its zone; may be empty
+  Endpoint endpoint;  // accepts connections from peers
 };
 
 }  // namespace deckhall
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -17,13 +17,13 @@
 constexpr double kMinSockets = 50;
 constexpr double kMaxSockets = 1e6;
 
-// The same error, of a field within `section`.
-SettingsError WithinSection(const std::string& section, SettingsError error) {
+// The same error with `section` in front of the field name.
+SettingsError PrefixField(const std::string& section, SettingsError error) {
   error.field.insert(0, section);
   return error;
 }
 
-// A number of the file, and where it goes.
+// The name of a number in the file and the member that stores its value.
 template <class Record>
 struct NumberField {
   const char* name;
@@ -37,7 +37,7 @@
     {"gang_wait_s", &Settings::gang_wait_s},
     {"gang_peer_s", &Settings::gang_loss_detection_s}};
 constexpr NumberField<Settings> kCloudFields[] = {{"rps", &Settings::cloud_rps},
-                                                  {"list_lag_s", &Settings::cloud_lag_s}};
+                                                  {"list_lag_s", &Settings::cloud_list_lag_s}};
 constexpr NumberField<Settings> kQuotaFields[] = {{"cores", &Settings::quota_cores},
                                                   {"mem_mb", &Settings::quota_memory_mb}};
 constexpr NumberField<Settings> kClusterFields[] = {
@@ -60,10 +60,10 @@
   return endpoint;
 }
 
-// A positive number, or `otherwise` when the section or the number is missing.
+// A positive number, or `default_value` if the section or the number is missing.
 Result<double, SettingsError> ReadPositive(const JsonValue* section, const char* name,
-                                           double otherwise) {
-  if (section == nullptr || JsonMember(*section, name) == nullptr) return otherwise;
+                                           double default_value) {
+  if (section == nullptr || JsonMember(*section, name) == nullptr) return default_value;
   double number = 0;
   if (!JsonNumber(*section, name, &number) || number <= 0 || number > kMaxNumber) {
     return SettingsError{SettingsErrorKind::kNotPositiveNumber, name};
@@ -71,7 +71,7 @@
   return number;
 }
 
-// Reads the numbers that the section has; the others stay as they are.
+// Reads the numbers that the section contains; the other members keep their values.
 template <class Record, size_t N>
 Check ReadNumbers(const JsonValue* section, const NumberField<Record> (&fields)[N],
                   Record* record) {
@@ -88,12 +88,12 @@
     return SettingsError{SettingsErrorKind::kMissingMember, "siblings", "label"};
   }
   if (peer.label == own_label) {
-    return SettingsError{SettingsErrorKind::kOwnLabel, "siblings", peer.label};
+    return SettingsError{SettingsErrorKind::kDuplicateOwnLabel, "siblings", peer.label};
   }
   JsonString(row, "site", &peer.site);
   auto endpoint = ReadEndpoint(row, "endpoint");
-  if (!endpoint.has_value()) return WithinSection("siblings: ", endpoint.error());
-  peer.at = std::move(endpoint.value());
+  if (!endpoint.has_value()) return PrefixField("siblings: ", endpoint.error());
+  peer.endpoint = std::move(endpoint.value());
   return peer;
 }
 
@@ -120,15 +120,15 @@
   return Success();
 }
 
-// The services that the controllers use.
+// Reads the endpoints of the external services that the controllers use.
 Check ReadExternalServices(const JsonValue& document, Settings* settings) {
   const JsonValue* external = JsonMember(document, "external");
   if (external == nullptr) return SettingsError{SettingsErrorKind::kMissing, "external"};
   auto cloud = ReadEndpoint(*external, "cloud");
-  if (!cloud.has_value()) return WithinSection("external: ", cloud.error());
+  if (!cloud.has_value()) return PrefixField("external: ", cloud.error());
   settings->cloud = std::move(cloud.value());
   auto state = ReadEndpoint(*external, "state");
-  if (!state.has_value()) return WithinSection("external: ", state.error());
+  if (!state.has_value()) return PrefixField("external: ", state.error());
   settings->state = std::move(state.value());
   return Success();
 }
@@ -138,7 +138,7 @@
   if (zones == nullptr) return Success();
   if (!zones->IsArray()) return SettingsError{SettingsErrorKind::kNotList, "zones"};
   for (const auto& zone : zones->GetArray()) {
-    if (!zone.IsString()) return SettingsError{SettingsErrorKind::kNotNames, "zones"};
+    if (!zone.IsString()) return SettingsError{SettingsErrorKind::kNotStrings, "zones"};
     settings->zones.emplace_back(zone.GetString());
   }
   return Success();
@@ -170,10 +170,10 @@
   return Success();
 }
 
-// The limits that the section has; the others are as in `otherwise`.
+// The limits that the section contains; the others are those of `defaults`.
 Result<StateLimits, SettingsError> ReadStateLimits(const JsonValue* section,
-                                                   const StateLimits& otherwise) {
-  StateLimits limits = otherwise;
+                                                   const StateLimits& defaults) {
+  StateLimits limits = defaults;
   BOOST_OUTCOME_TRYV(ReadNumbers(section, kStateFields, &limits));
   BOOST_OUTCOME_TRY(operations, ReadPositive(section, "txn_ops", limits.txn_ops));
   limits.txn_ops = static_cast<int>(
@@ -181,7 +181,7 @@
   return limits;
 }
 
-StateLimits SmallerOf(const StateLimits& a, const StateLimits& b) {
+StateLimits MinLimits(const StateLimits& a, const StateLimits& b) {
   StateLimits smaller;
   smaller.rps = std::min(a.rps, b.rps);
   smaller.write_rps = std::min(a.write_rps, b.write_rps);
@@ -190,18 +190,18 @@
   return smaller;
 }
 
-// The limits in force, and the announced ones that come without further notice.
+// Reads the limits in force and the announced ones, which may take effect without further notice.
 Check ReadStateSection(const JsonValue* section, Settings* settings) {
   const auto current = ReadStateLimits(section, settings->current_state_limits);
-  if (!current.has_value()) return WithinSection("state.", current.error());
+  if (!current.has_value()) return PrefixField("state.", current.error());
   settings->current_state_limits = current.value();
   settings->effective_state_limits = current.value();
   const JsonValue* next = section == nullptr ? nullptr : JsonMember(*section, "next");
   if (next == nullptr) return Success();
   if (!next->IsObject()) return SettingsError{SettingsErrorKind::kNotObject, "state.next"};
   const auto announced = ReadStateLimits(next, current.value());
-  if (!announced.has_value()) return WithinSection("state.next.", announced.error());
-  settings->effective_state_limits = SmallerOf(current.value(), announced.value());
+  if (!announced.has_value()) return PrefixField("state.next.", announced.error());
+  settings->effective_state_limits = MinLimits(current.value(), announced.value());
   return Success();
 }
 
@@ -245,10 +245,10 @@
       return error.field + ": not a list";
     case SettingsErrorKind::kNotObject:
       return error.field + ": not an object";
-    case SettingsErrorKind::kNotNames:
-      return error.field + ": not names";
-    case SettingsErrorKind::kOwnLabel:
-      return error.field + ": own label " + error.detail;
+    case SettingsErrorKind::kNotStrings:
+      return error.field + ": not a list of strings";
+    case SettingsErrorKind::kDuplicateOwnLabel:
+      return error.field + ": label of this controller itself: " + error.detail;
   }
   return "";
 }
--- a/src/config/sexpression.cc
+++ b/src/config/sexpression.cc
@@ -20,15 +20,15 @@
   return SExpression(list);
 }
 
-std::string SExpression::Atom(int at) const {
+std::string SExpression::Atom(int index) const {
   size_t size = 0;
-  const char* data = gcry_sexp_nth_data(list_.get(), at, &size);
+  const char* data = gcry_sexp_nth_data(list_.get(), index, &size);
   return data == nullptr ? std::string() : std::string(data, size);
 }
 
-std::optional<SExpression> SExpression::List(int at) const {
-  if (!Atom(at).empty()) return std::nullopt;
-  gcry_sexp_t list = gcry_sexp_nth(list_.get(), at);
+std::optional<SExpression> SExpression::List(int index) const {
+  if (!Atom(index).empty()) return std::nullopt;
+  gcry_sexp_t list = gcry_sexp_nth(list_.get(), index);
   if (list == nullptr) return std::nullopt;
   return SExpression(list);
 }
--- a/src/config/tuning.cc
+++ b/src/config/tuning.cc
@@ -16,9 +16,9 @@
 Result<void, TuningError> ReadEntry(const std::string& section, const SExpression& entry,
                                     Tuning* tuning) {
   const TuningField* field = FindField(section, entry.Name());
-  if (field == nullptr) return Success();  // ignored, as in the platform's file
+  if (field == nullptr) return Success();  // unknown names are ignored, as in the settings
   const std::optional<double> value = ParseNumber(entry.Atom(1));
-  if (!value || *value < field->least || *value > field->most) {
+  if (!value || *value < field->min_value || *value > field->max_value) {
     return TuningError{.kind = TuningErrorKind::kOutOfRange, .field = field};
   }
   tuning->*(field->member) = *value;
@@ -37,10 +37,10 @@
 
 Result<void, TuningError> CheckConsistency(const Tuning& tuning) {
   if (tuning.keep_alive_ms * 2 > tuning.lease_ms) {
-    return TuningError{.kind = TuningErrorKind::kRenewalTooSlow};
+    return TuningError{.kind = TuningErrorKind::kRenewalIntervalTooLong};
   }
-  if (tuning.late_boot > tuning.give_up_boot) {
-    return TuningError{.kind = TuningErrorKind::kLateBootAfterGivingUp};
+  if (tuning.late_boot_factor > tuning.give_up_boot_factor) {
+    return TuningError{.kind = TuningErrorKind::kLateBootExceedsGiveUpBoot};
   }
   return Success();
 }
@@ -48,7 +48,9 @@
 std::string DescribeRange(const TuningField& field) {
   std::string text = field.section;
   text.append(" ").append(field.name).append(": not a number from ");
-  text.append(std::to_string(field.least)).append(" to ").append(std::to_string(field.most));
+  text.append(std::to_string(field.min_value))
+      .append(" to ")
+      .append(std::to_string(field.max_value));
   return text;
 }
 
@@ -56,75 +58,81 @@
 
 const std::vector<TuningField>& TuningFields() {
   static const std::vector<TuningField> kFields = {
-      {"leader", "lease-ms", &Tuning::lease_ms, 500, 60000, "leader's lease in the state service"},
-      {"leader", "renew-ms", &Tuning::keep_alive_ms, 50, 30000, "time between its renewals"},
-      {"rank", "refresh-s", &Tuning::refresh_s, 0.5, 60, "ranks are refreshed at least so often"},
+      {"leader", "lease-ms", &Tuning::lease_ms, 500, 60000,
+       "time to live of the leader's lease in the state service"},
+      {"leader", "renew-ms", &Tuning::keep_alive_ms, 50, 30000,
+       "time between renewals of the leader's lease"},
+      {"rank", "refresh-s", &Tuning::refresh_s, 0.5, 60,
+       "maximum time between refreshes of the ranks"},
       {"rank", "save-s", &Tuning::progress_save_s, 1, 300,
-       "work left is written at least so often"},
-      {"rank", "weight-idle", &Tuning::weight_idle, 0.01, 1000, "share of idle jobs"},
-      {"rank", "weight-normal", &Tuning::weight_normal, 0.01, 1000, "share of normal jobs"},
-      {"rank", "weight-urgent", &Tuning::weight_urgent, 0.01, 1000, "share of urgent jobs"},
+       "maximum time between checkpoints of the remaining work"},
+      {"rank", "weight-idle", &Tuning::weight_idle, 0.01, 1000, "scheduling weight of idle jobs"},
+      {"rank", "weight-normal", &Tuning::weight_normal, 0.01, 1000,
+       "scheduling weight of normal jobs"},
+      {"rank", "weight-urgent", &Tuning::weight_urgent, 0.01, 1000,
+       "scheduling weight of urgent jobs"},
       {"rank", "weight-production", &Tuning::weight_production, 0.01, 1000,
-       "share of production arrays"},
+       "scheduling weight of production arrays"},
       {"rank", "delay-fetches", &Tuning::delay_fetches, 0, 100,
-       "so many fetch times an array waits for a machine that holds its image"},
+       "time an array waits for a machine that holds its image, in fetch times"},
       {"rank", "passed-over-s", &Tuning::starvation_s, 10, 100000,
-       "a job none of whose tasks found a place for so long goes first once"},
+       "a job none of whose tasks could be placed for this long is scheduled first once"},
       {"rank", "preempt-after-s", &Tuning::preempt_after_s, 0, 600,
-       "a job within its guarantee waits so long before others' tasks are stopped for it"},
+       "time a job within its guarantee waits before tasks of others are preempted for it"},
       {"rank", "gang-reserve-s", &Tuning::gang_reserve_s, 0, 600,
-       "room is kept for a gang that has found none for so long"},
+       "capacity is reserved for a gang that has not found enough for this long"},
       {"rank", "gang-long-fetch-s", &Tuning::gang_long_fetch_s, 0, 100000,
-       "for a gang whose fetch takes longer, tasks it may claim are stopped where the image is"},
+       "if a gang's fetch takes longer, it may preempt tasks on machines that hold the image"},
       {"rank", "long-fetch-s", &Tuning::long_fetch_s, 0, 100000,
-       "for a replica whose fetch takes longer, arrays are stopped where the image is"},
+       "if a replica's fetch takes longer, it may preempt arrays on machines that hold the image"},
       {"rank", "stop-for-image", &Tuning::preempt_for_image, 0, 1000,
-       "work lost for that at the most, in core-times of the fetch"},
+       "maximum work lost to such a preemption, in cores times the fetch time"},
       {"fleet", "silent-s", &Tuning::silent_after_s, 1, 600,
-       "an idle machine silent for so long is probed, and gets nothing new"},
+       "an idle machine without heartbeats for this long is probed and gets no new tasks"},
       {"fleet", "probe-s", &Tuning::probe_interval_s, 0.2, 600,
-       "a machine with tasks that is silent for so long is probed"},
+       "a machine with tasks and without heartbeats for this long is probed"},
       {"fleet", "quick-lost-s", &Tuning::quick_death_s, 0.5, 600,
-       "a machine silent for so long, and to two probes, is returned"},
+       "a machine without heartbeats for this long that fails two probes is released"},
       {"fleet", "lost-s", &Tuning::death_s, 1, 600,
-       "the same when several machines are silent at once"},
+       "as quick-lost-s, if several machines send no heartbeats at once"},
       {"fleet", "lost-behind-cut-s", &Tuning::partition_death_s, 1, 600,
-       "the same, for machines of a zone to which the way was blocked of late"},
+       "as quick-lost-s, for machines of a zone that was partitioned recently"},
       {"fleet", "takeover-wait-s", &Tuning::failover_wait_s, 1, 600,
-       "a new leader waits so long for a machine's first sign"},
+       "time a new leader waits for a machine's first heartbeat"},
       {"fleet", "deaf-s", &Tuning::one_way_death_s, 1, 600,
-       "a machine that reports, but answers nothing for so long, is returned"},
+       "a one-way reachable machine (heartbeats, but no responses for this long) is released"},
       {"fleet", "message-ms", &Tuning::worker_call_ms, 0.001, 100,
-       "processor time of one question to a worker, for the budgets below"},
+       "processor time of one request to a worker, for the shares below"},
       {"fleet", "probe-share", &Tuning::probe_share, 0.001, 1,
-       "part of the processor for asking after machines"},
+       "share of the processor quota for probing machines"},
       {"fleet", "direct-share", &Tuning::command_share, 0.01, 1,
-       "part of the processor for commands sent straight to workers"},
-      {"capacity", "plan-s", &Tuning::autoscale_interval_s, 0.2, 60, "time between plans"},
+       "share of the processor quota for commands sent directly to workers"},
+      {"capacity", "plan-s", &Tuning::autoscale_interval_s, 0.2, 60,
+       "time between autoscaling plans"},
       {"capacity", "idle-spot-boots", &Tuning::idle_spot_boots, 0, 1000,
-       "an idle spot machine is kept so long, in boot times"},
+       "time an idle spot machine is kept, in boot times"},
       {"capacity", "idle-ordinary-boots", &Tuning::idle_ordinary_boots, 0, 1000,
-       "an idle ordinary machine is kept so long, in boot times"},
+       "time an idle ordinary machine is kept, in boot times"},
       {"capacity", "drain-s", &Tuning::backlog_drain_s, 1, 3600,
-       "machines are rented so that waiting arrays are worked off in this time"},
-      {"capacity", "patient-s", &Tuning::patient_s, 0, 3600,
-       "services that waited so long may go where their image is missing"},
+       "machines are provisioned to complete the backlog of arrays within this time"},
+      {"capacity", "patient-s", &Tuning::image_locality_wait_s, 0, 3600,
+       "services that have waited this long may be placed where their image is missing"},
       {"capacity", "headroom-free", &Tuning::headroom_reserved_share, 0, 1,
-       "part of the room for replicas that arrays may not borrow"},
+       "share of the headroom for replicas that arrays may not use"},
       {"capacity", "headroom-machines", &Tuning::headroom_machines, 0, 100,
-       "room kept for replicas, in machines lost"},
+       "headroom for replicas, in machines that may be lost"},
       {"capacity", "headroom-boots", &Tuning::headroom_boots, 0, 100,
-       "room kept for replicas, in boot times of arrivals"},
+       "headroom for replicas, in boot times of arriving services"},
       {"capacity", "headroom-share", &Tuning::headroom_share, 0, 1,
-       "room kept for replicas, at least this part of what services use"},
+       "minimum headroom for replicas, as a share of the cores that services use"},
       {"capacity", "settled-s", &Tuning::settled_s, 0, 3600,
-       "machines and tasks younger than this are not moved"},
-      {"capacity", "consolidate-spare", &Tuning::consolidate_spare, 0, 1000,
-       "room beyond the reserve, in parts of it, before a machine is emptied"},
-      {"capacity", "late-boot", &Tuning::late_boot, 1, 20,
-       "boots longer than this, in nominal times, are no longer counted on"},
-      {"capacity", "give-up-boot", &Tuning::give_up_boot, 1, 100,
-       "boots longer than this, in nominal times, are given up"},
+       "machines and tasks younger than this are not consolidated"},
+      {"capacity", "consolidate-spare", &Tuning::consolidation_spare_share, 0, 1000,
+       "free capacity required beyond the headroom to empty a machine, as a share of it"},
+      {"capacity", "late-boot", &Tuning::late_boot_factor, 1, 20,
+       "machines that boot longer, in nominal boot times, do not count as future capacity"},
+      {"capacity", "give-up-boot", &Tuning::give_up_boot_factor, 1, 100,
+       "machines that boot longer, in nominal boot times, are released"},
   };
   return kFields;
 }
@@ -141,9 +149,9 @@
       return error.section + ": an entry is not a list";
     case TuningErrorKind::kOutOfRange:
       return DescribeRange(*error.field);
-    case TuningErrorKind::kRenewalTooSlow:
+    case TuningErrorKind::kRenewalIntervalTooLong:
       return "leader renew-ms: more than half of lease-ms";
-    case TuningErrorKind::kLateBootAfterGivingUp:
+    case TuningErrorKind::kLateBootExceedsGiveUpBoot:
       return "capacity late-boot: more than give-up-boot";
   }
   return "";
--- a/src/config/tuning.h
+++ b/src/config/tuning.h
@@ -1,8 +1,8 @@
-// The operators' own settings: an S-expression file (deckhall (section (name "value") ...) ...).
+// The operators' tuning: an S-expression file (deckhall (section (name "value") ...) ...).
 //
-// What the file leaves out keeps its default, and unknown names are ignored. A Tuning that was
-// read is within the bounds of its fields, and consistent: the leader's lease outlives a missed
-// renewal. Read once, at the start, and constant from then on.
+// Missing values keep their defaults, and unknown names are ignored. In a Tuning that was read
+// successfully all values are within their bounds and consistent: the leader's lease outlives a
+// missed renewal. The file is read once at start-up; the tuning is constant from then on.
 #pragma once
 
 #include <string>
@@ -13,7 +13,7 @@
 
 namespace deckhall {
 
-// Names end in the unit; TuningFields() says what each one does.
+// Names end in the unit. The help texts of TuningFields() describe the values.
 struct Tuning {
   // leader
   double lease_ms = 1000;
@@ -48,46 +48,46 @@
   double idle_spot_boots = 0.1;
   double idle_ordinary_boots = 0.15;
   double backlog_drain_s = 25;
-  double patient_s = 8;
+  double image_locality_wait_s = 8;
   double headroom_reserved_share = 0.4;
   double headroom_machines = 1;
   double headroom_boots = 1;
   double headroom_share = 0.05;
   double settled_s = 30;
-  double consolidate_spare = 0.2;
-  double late_boot = 1.8;
-  double give_up_boot = 4;
+  double consolidation_spare_share = 0.2;
+  double late_boot_factor = 1.8;
+  double give_up_boot_factor = 4;
 };
 
-// One setting: where it stands in the file, and what it may be.
+// One tuning value: its name in the file and its bounds.
 struct TuningField {
   const char* section;
-  const char* name;        // in the file
-  double Tuning::*member;  // where it goes
-  double least;
-  double most;
+  const char* name;        // as in the file
+  double Tuning::*member;  // stores the value
+  double min_value;
+  double max_value;
   const char* help;  // for operators
 };
 
-// All settings, in the order of the operators' page.
+// All tuning values, in the order of the operations manual.
 const std::vector<TuningField>& TuningFields();
 
 enum class TuningErrorKind {
   kNotSExpression,
-  kWrongRoot,  // another file, perhaps
+  kWrongRoot,  // perhaps a file of another kind
   kSectionNotList,
-  kEntryNotList,    // in `section`
-  kOutOfRange,      // `field` is no number, or beyond its bounds
-  kRenewalTooSlow,  // one missed renewal would lose the leader's lease
-  kLateBootAfterGivingUp,
+  kEntryNotList,            // in `section`
+  kOutOfRange,              // `field` is not a number or out of bounds
+  kRenewalIntervalTooLong,  // the leader's lease would expire after one missed renewal
+  kLateBootExceedsGiveUpBoot,
 };
 
-// Why a text is no tuning.
+// The reason why a text is not a valid tuning file.
 struct TuningError {
   TuningErrorKind kind;
-  SExpressionError syntax = {};        // of kNotSExpression
-  std::string section = {};            // of kEntryNotList
-  const TuningField* field = nullptr;  // of kOutOfRange
+  SExpressionError syntax = {};        // for kNotSExpression
+  std::string section = {};            // for kEntryNotList
+  const TuningField* field = nullptr;  // for kOutOfRange
 };
 
 // The error in one line, for operators.
--- a/src/leader/autoscaler.cc
+++ b/src/leader/autoscaler.cc
@@ -6,8 +6,8 @@
 namespace deckhall {
 namespace {
 
-// Added to Tuning::late_boot nominal boot times; a machine that boots longer is not counted as
-// capacity.
+// Added to Tuning::late_boot_factor nominal boot times; a machine that boots longer is not counted
+// as capacity.
 constexpr double kBootMarginSeconds = 5;
 constexpr double kDefaultBootSeconds = 60;  // for machine types that the cloud does not offer
 // A machine with this many unanswered probes counts as unreachable.
@@ -75,7 +75,8 @@
   if (!machine.up) {
     const MachineType* type = provisioner_->TypeOf(machine.type);
     const double booting_s = clock_->Wall() - machine.provisioned_at_wall;
-    return type != nullptr && booting_s < type->boot_s * tuning_->late_boot + kBootMarginSeconds;
+    return type != nullptr &&
+           booting_s < type->boot_s * tuning_->late_boot_factor + kBootMarginSeconds;
   }
   if (capacity.usable) return true;
   return !machine.unschedulable && machine.preemption_at < 0 &&
@@ -144,7 +145,7 @@
   Machine& machine = (*fleet_)[machine_index];
   const double now = clock_->Now();
   if (!machine.up) {
-    if (clock_->Wall() - machine.provisioned_at_wall > boot_s * tuning_->give_up_boot &&
+    if (clock_->Wall() - machine.provisioned_at_wall > boot_s * tuning_->give_up_boot_factor &&
         now - machine.discovered_at > boot_s) {
       provisioner_->ScaleIn(machine_index, "boot timed out");
     }
--- a/src/leader/consolidator.cc
+++ b/src/leader/consolidator.cc
@@ -99,7 +99,7 @@
 
 void Consolidator::StartConsolidations(size_t already_consolidating) {
   const size_t max_machines = 1 + fleet_->active().size() / kMachinesPerConsolidation;
-  const double kept_cores = free_capacity_->headroom() * (1 + tuning_->consolidate_spare) +
+  const double kept_cores = free_capacity_->headroom() * (1 + tuning_->consolidation_spare_share) +
                             free_capacity_->planned_cores();
   double free_cores = free_capacity_->free_ordinary();
   for (const Candidate& candidate : Candidates()) {
--- a/src/leader/free_capacity.cc
+++ b/src/leader/free_capacity.cc
@@ -298,7 +298,7 @@
   request.gang = job.spec.gang;
   // No replica runs yet and the service has waited long, as at a cold start.
   request.overdue = request.service && job.tasks_placed == 0 &&
-                    clock_->Now() - job.waiting_since > tuning_->patient_s;
+                    clock_->Now() - job.waiting_since > tuning_->image_locality_wait_s;
   request.image = job.image;
   request.image_gb = job.spec.image_gb;
   request.failed_machines = job.failed_machines.empty() ? nullptr : &job.failed_machines;
--- a/src/leader/leader_options.cc
+++ b/src/leader/leader_options.cc
@@ -40,7 +40,7 @@
 
 ProvisionerOptions ProvisionerOptionsFrom(const Settings& settings) {
   ProvisionerOptions options;
-  options.list_lag_s = settings.cloud_lag_s;
+  options.list_lag_s = settings.cloud_list_lag_s;
   options.list_interval_s = std::clamp(kRequestsPerInstanceList / settings.cloud_rps,
                                        kMinListIntervalSeconds, kMaxListIntervalSeconds);
   return options;
--- a/src/mesh/peer_connections.cc
+++ b/src/mesh/peer_connections.cc
@@ -82,7 +82,7 @@
   connection->last_dialled_at = clock_->Now();
   connection->reader.Reset();
   connection->unsent_frames.clear();
-  connection->tcp = TcpConn::Connect(loop_, connection->peer.at);
+  connection->tcp = TcpConn::Connect(loop_, connection->peer.endpoint);
   if (!connection->tcp) return;
   connection->tcp->SetCallbacks(
       [this, connection](std::string_view bytes) { ReceiveResponses(connection, bytes); },
--- a/tests/drain_test.cc
+++ b/tests/drain_test.cc
@@ -728,7 +728,7 @@
 TEST(Disruption, MovesToSaveMachinesAskTheLedger) {
   for (const bool allowed : {false, true}) {
     DrainWorld w;
-    w.tuning.consolidate_spare = 0;
+    w.tuning.consolidation_spare_share = 0;
     w.tuning.headroom_machines = 0;
     w.tuning.headroom_share = 0;
     w.tuning.headroom_boots = 0;
--- a/tests/placer_test.cc
+++ b/tests/placer_test.cc
@@ -220,9 +220,9 @@
   row.age_s = 100;
   w.cloud.listed = {row};
   w.Lead();
-  w.Pass(w.settings.cloud_lag_s * 2);
+  w.Pass(w.settings.cloud_list_lag_s * 2);
   EXPECT_EQ(w.leader->fleet().Find("m-7"), kNoIndex);
-  w.Pass(w.settings.cloud_lag_s + 10);
+  w.Pass(w.settings.cloud_list_lag_s + 10);
   EXPECT_NE(w.leader->fleet().Find("m-7"), kNoIndex);
 }
 
--- a/tests/user_requests_test.cc
+++ b/tests/user_requests_test.cc
@@ -16,7 +16,7 @@
   for (const double now : Steps(0, 120, every_s)) {
     for (size_t i = 0; i < jobs; ++i) {
       if (budget.Admit(JobName(i), now)) {
-        budget.RecordAnswer(JobName(i), true, now);
+        budget.RecordResponse(JobName(i), true, now);
         answered_at[i] = now;
       }
       longest = std::max(longest, now - answered_at[i]);
@@ -28,8 +28,8 @@
 // A bucket alone serves whoever comes first after each refill, again and again.
 TEST(StatusBudget, NoJobIsRefusedAgainAndAgain) {
   constexpr double kRate = 20;
-  constexpr double kLasts = StatusRateLimiter::kAnswerLastsSeconds;
-  constexpr double kUsable = kRate * (1 - StatusRateLimiter::kKeptForOverdue);
+  constexpr double kLasts = StatusRateLimiter::kOverdueAfterSeconds;
+  constexpr double kUsable = kRate * (1 - StatusRateLimiter::kReservedForOverdueShare);
   EXPECT_LE(LongestWithoutAnswer(kRate, 200, 0.25), kLasts + 200 / kUsable + 0.25);
   EXPECT_LE(LongestWithoutAnswer(kRate, 400, 0.25), kLasts + 400 / kUsable + 0.25);
   EXPECT_LE(LongestWithoutAnswer(kRate, 80, 5), kLasts + 5 * 80 / kUsable + 5);
@@ -39,16 +39,16 @@
   constexpr double kRate = 20;
   constexpr size_t kJobs = 100;
   StatusRateLimiter budget(kRate);
-  for (size_t i = 0; i < kJobs; ++i) budget.RecordAnswer(JobName(i), true, 0);
+  for (size_t i = 0; i < kJobs; ++i) budget.RecordResponse(JobName(i), true, 0);
   std::vector<bool> answered(kJobs, false);
   size_t made_up = kJobs;
-  const double from = StatusRateLimiter::kAnswerLastsSeconds;
+  const double from = StatusRateLimiter::kOverdueAfterSeconds;
   for (const double now :
        Steps(from, from + kJobs / kRate + StatusRateLimiter::kCatchUpSeconds, 0.25)) {
     for (int i = 0; i < 100; ++i) budget.Admit(JobName(made_up++), now);
     for (size_t i = 0; i < kJobs; ++i) {
       if (!budget.Admit(JobName(i), now)) continue;
-      budget.RecordAnswer(JobName(i), true, now);
+      budget.RecordResponse(JobName(i), true, now);
       answered[i] = true;
     }
   }
@@ -61,10 +61,11 @@
   for (const double now : Steps(0, 600, 0.25)) {
     for (int i = 0; i < 100; ++i) {
       const std::string job = "job-" + std::to_string(now) + "-" + std::to_string(i);
-      if (budget.Admit(job, now)) budget.RecordAnswer(job, true, now);
+      if (budget.Admit(job, now)) budget.RecordResponse(job, true, now);
     }
   }
-  EXPECT_LE(static_cast<double>(budget.size()), kRate * 5 * StatusRateLimiter::kAnswerLastsSeconds);
+  EXPECT_LE(static_cast<double>(budget.size()),
+            kRate * 5 * StatusRateLimiter::kOverdueAfterSeconds);
 }
 
 struct Asked {
