--- a/src/app/drains_command.cc
+++ b/src/app/drains_command.cc
@@ -67,7 +67,8 @@
         FormatCount(d.tasks_stopped, "tasks of arrays stopped; ") +
         FormatCount(d.evictions_given_up, "steps given up\n");
     if (d.state != DrainState::kDone && !d.blocked_reason.empty()) {
-      out += "  waits for " + FormatDuration(wall - d.waiting_since_wall) + ": " + d.blocked_reason + "\n";
+      out += "  waits for " + FormatDuration(wall - d.waiting_since_wall) + ": " +
+             d.blocked_reason + "\n";
     }
     if (d.state == DrainState::kDone && d.machines_done == 0) out += "  no machine matched\n";
     for (const EvictionRecord& eviction : records.evictions) {
