--- a/tests/cluster.h
+++ b/tests/cluster.h
@@ -1,6 +1,6 @@
-// Several real controllers over a scripted network, state service, cloud, workers and
-// users, with one oracle watching all of them. Time moves by events; the same seed gives
-// the same run.
+// A deterministic simulation of a cluster: real controllers with a simulated network, state
+// service, cloud, workers and users, checked by an oracle. The time advances from event to event;
+// the same seed gives the same run.
 #pragma once
 
 #include <map>
@@ -18,74 +18,78 @@
 
 namespace deckhall {
 
-// A worker as PROTOCOL describes it: lease, sessions, tokens, reports to one node.
+// A worker as described in PROTOCOL: it has a lease, agent epochs and a fencing token, and sends
+// its heartbeats to one controller.
 struct SimWorker {
-  Heartbeat report;
-  size_t node = 0;         // reports to it
-  double next_report = 0;  // no report before
-  double lease_from = 0;   // sending time of the last answered report, or its beginning
-  bool waiting = false;    // for the answer to a report
-  uint64_t asked = 0;      // numbers its reports, so that late answers are dropped
-  double hangs_until = -1;
-  double deaf_until = -1;  // answers and direct commands are lost
-  double mute_until = -1;  // its reports are lost
+  Heartbeat heartbeat;
+  size_t controller_index = 0;   // of the controller that receives its heartbeats
+  double next_heartbeat_at = 0;  // no heartbeat before this time
+  double lease_start = 0;        // send time of the last heartbeat with a response, or epoch start
+  bool awaiting_response = false;  // to a heartbeat
+  uint64_t heartbeat_number = 0;   // responses to earlier heartbeats are ignored
+  double hung_until = -1;
+  double one_way_until = -1;          // responses and requests to it are lost
+  double heartbeats_lost_until = -1;  // its heartbeats are lost
   bool gone = false;
-  double rate = 1;                        // of its steady clock
-  std::map<std::string, double> ends_at;  // by task
-  std::vector<Heartbeat> sent;            // for late copies
+  double clock_rate = 1;                       // of its monotonic clock
+  std::map<std::string, double> task_ends_at;  // by task name
+  std::vector<Heartbeat> recent_heartbeats;    // for ReplayHeartbeats()
 };
 
-// A process's own clocks: the steady one drifts, the time of day is off, both within
-// what PROTOCOL and the settings allow.
+// The clocks of one process: the monotonic clock drifts and the wall clock is offset, both within
+// the bounds of PROTOCOL and the settings.
 struct NodeClock : Clock {
-  const FakeClock* truth = nullptr;
+  const FakeClock* true_clock = nullptr;
   double rate = 1;
-  double wall_off = 0;
-  double Now() const override { return truth->now * rate; }
-  double Wall() const override { return truth->Wall() + wall_off; }
+  double wall_offset_s = 0;
+  double Now() const override { return true_clock->now * rate; }
+  double Wall() const override { return true_clock->Wall() + wall_offset_s; }
 };
 
-enum class CutMode { kHold, kDrop, kRefuse };
+enum class PartitionMode { kDelay, kDrop, kRefuse };
 
 class Cluster {
  public:
   explicit Cluster(uint64_t seed, size_t nodes = 3, const Settings& times = Settings());
   ~Cluster();
 
-  // The stage.
+  // Processes, machines and their faults.
   void Boot(size_t node);
   void Crash(size_t node);
-  // Stands still, with all that comes in, while its clock runs on.
+  // Suspends the process; incoming messages wait and its clock continues.
   void Freeze(size_t node, double for_s);
-  // Between two parties, both ways: "n0", "state", "users", "workers" or a machine.
-  void Cut(const std::string& a, const std::string& b, double for_s, CutMode mode);
-  void CutOneWay(const std::string& from, const std::string& to, double for_s, CutMode mode);
-  // All in the zone, controllers too, from all outside it, the regional services included.
-  void CutZone(const std::string& zone, double for_s, CutMode mode);
+  // Partitions two endpoints in both directions: a controller ("n0"), "state", "users", "cloud",
+  // "workers" (all of them) or a machine.
+  void Partition(const std::string& a, const std::string& b, double for_s, PartitionMode mode);
+  void PartitionOneWay(const std::string& from, const std::string& to, double for_s,
+                       PartitionMode mode);
+  // Partitions the controllers and workers of the zone from all others and from the state service,
+  // the cloud and the users.
+  void PartitionZone(const std::string& zone, double for_s, PartitionMode mode);
   void StateOutage(double for_s);
-  // The limits that were announced come.
+  // The announced lower limits of the state service take effect.
   void LowerStateLimits();
   SimWorker& AddWorker(const std::string& zone, bool spot = false);
   SimWorker& AddWorker(const std::string& name, const std::string& zone, bool spot);
-  // Stops with all that is on it.
-  void Die(const std::string& machine) { Delete(machine); }
+  // The machine fails together with its tasks.
+  void KillMachine(const std::string& machine) { RemoveMachine(machine); }
   void Hang(const std::string& machine, double for_s);
-  void Deaf(const std::string& machine, double for_s);
-  void Mute(const std::string& machine, double for_s);
-  // The machine's last reports come again a while later, at all nodes.
-  void ReplayReports(const std::string& machine, double after_s);
+  void MakeOneWayReachable(const std::string& machine, double for_s);
+  void LoseHeartbeats(const std::string& machine, double for_s);
+  // All controllers receive the machine's last heartbeats again after `after_s`.
+  void ReplayHeartbeats(const std::string& machine, double after_s);
 
-  // The disruption file of every controller, those that start later included. Its budgets are
-  // handed to the oracle by the caller.
+  // Sets the disruption policy of all controllers, including those that start later. The caller
+  // passes its budgets to the disruption oracle.
   void SetPolicy(const std::string& text);
 
-  // Users: they repeat submissions and cancellations until they are answered, and
-  // ask about every job now and then.
+  // User requests. Submissions and cancellations are repeated until they get a response; the status
+  // of each accepted job is queried about every 5 s.
   void Submit(const JobSpec& spec);
   void Cancel(const std::string& id);
-  // Asked once, whatever the answer: repeats, and what no user should ask.
-  void AskOnce(JobOperation op, const std::string& id);
-  void SubmitHopeless(const std::string& id);
+  // Sends a request without retries, for duplicates and invalid requests.
+  void SendRequestOnce(JobOperation op, const std::string& id);
+  void SubmitUnplaceable(const std::string& id);
   JobSpec Array(const std::string& id, uint32_t tasks, double cores = 2) const {
     return ArraySpec(id, tasks, cores);
   }
@@ -94,131 +98,139 @@
   }
 
   void Run(double seconds);
-  // Until the condition holds; false when it did not in time.
-  bool RunUntil(const std::function<bool()>& when, double most_s);
+  // Runs until the condition holds; false if it does not within `max_s`.
+  bool RunUntil(const std::function<bool()>& condition, double max_s);
 
-  size_t Leader() const;       // the node that trusts its lease; SIZE_MAX: none
-  Controller* node(size_t i);  // null while it is down
+  size_t Leader() const;       // the controller with a valid lease; SIZE_MAX if there is none
+  Controller* node(size_t i);  // null if it is not running
   bool Accepted(const std::string& id) const { return accepted_.contains(id); }
   bool Cancelled(const std::string& id) const { return cancelled_.contains(id); }
-  bool ToldDone(const std::string& id) const { return over_.contains(id); }
-  // Tasks of the job that are on machines.
-  size_t On(const std::string& job) const;
+  bool ReportedDone(const std::string& id) const { return reported_done_.contains(id); }
+  // Counts the tasks of the job on all machines that have not exited.
+  size_t ActiveTasks(const std::string& job) const;
   std::string MachineOf(const std::string& task) const;
   double now() const { return clock_.now; }
   std::mt19937_64& random() { return random_; }
-  // Rules broken so far, a line each.
-  std::string Broken() const;
+  // Violated rules so far, one per line.
+  std::string Violations() const;
 
   Settings settings;
   Tuning tuning;
-  double run_s = 30;         // of an array's task
-  double spread_s = 0;       // added for each further task of a job
-  double delay_s = 0;        // added to every message
-  double late_writes = 0;    // share of transactions that are carried out late, unanswered
-  double lost_answers = 0;   // share of transactions that are carried out, their answers lost
-  double late_commands = 0;  // share of direct commands held up for seconds, unanswered
-  double slow_state_s = 0;   // added to each answer
-  bool cloud_out = false;
-  int rentable = 0;  // so many more machines can be had
+  double array_run_s = 30;           // run time of the tasks of arrays and of gangs
+  double run_spread_s = 0;           // added to the run time for each task index
+  double message_delay_s = 0;        // added to the latency of every message
+  double delayed_commit_share = 0;   // share of transactions executed late, without a response
+  double lost_response_share = 0;    // share of transactions executed without a response
+  double delayed_command_share = 0;  // share of direct commands that arrive seconds late
+  double state_delay_s = 0;          // added to each response of the state service
+  bool cloud_unavailable = false;
+  int available_machines = 0;  // machines that the cloud can still provision
   std::map<std::string, SimWorker> workers;
   std::unique_ptr<Oracle> oracle;
-  std::unique_ptr<DisruptionOracle> disruption;  // once budgets are watched
+  std::unique_ptr<DisruptionOracle> disruption;  // null if no budgets are checked
 
  private:
-  struct Shell;
+  struct Process;
   struct StateLink;
   struct CloudLink;
   struct WorkerLink;
-  struct Links;
-  struct CutNow {
+  struct PeerLinks;
+  struct ActivePartition {
     double until;
-    CutMode mode;
+    PartitionMode mode;
   };
 
-  void At(double t, std::function<void()> fn) { events_.emplace(t, std::move(fn)); }
-  void After(double s, std::function<void()> fn) { At(clock_.now + s, std::move(fn)); }
-  // Empty: the message goes through after the delay.
-  const CutNow* Blocked(const std::string& from, const std::string& to) const;
-  // Carries out `fn` at the other end, now, late or never.
-  void Carry(const std::string& from, const std::string& to, std::function<void()> fn);
-  // Runs on that process, when it does not stand still; never on a later one.
-  void OnNode(const std::shared_ptr<Shell>& shell, const std::function<void()>& fn);
-  // What a request's answer is handed to: `done` gets the first one, on that process, at
-  // the latest `none` when the time is over.
-  template <class Answer, class Done>
-  std::function<void(const Answer&)> FirstAnswer(const std::shared_ptr<Shell>& shell,
-                                                 double timeout, const Answer& none, Done done);
-  void TickNode(const std::shared_ptr<Shell>& shell);
-  bool Draw(double share) { return std::uniform_real_distribution<double>(0, 1)(random_) < share; }
+  void ScheduleAt(double time, std::function<void()> callback) {
+    events_.emplace(time, std::move(callback));
+  }
+  void ScheduleAfter(double delay, std::function<void()> callback) {
+    ScheduleAt(clock_.now + delay, std::move(callback));
+  }
+  // The partition that affects this message; null if there is none.
+  const ActivePartition* Blocked(const std::string& from, const std::string& to) const;
+  // Sends a message that calls `callback` on arrival, which a partition delays or prevents.
+  void Deliver(const std::string& from, const std::string& to, std::function<void()> callback);
+  // Runs the callback on the process, after a suspension if there is one; does nothing once the
+  // process has ended, even if its controller was started again.
+  void RunOnProcess(const std::shared_ptr<Process>& process, const std::function<void()>& callback);
+  // Returns the callback for the response of a request. Only the first response is passed to
+  // `done`, on the process; after the timeout `timeout_response` is passed instead.
+  template <class Response, class Done>
+  std::function<void(const Response&)> FirstResponse(const std::shared_ptr<Process>& process,
+                                                     double timeout,
+                                                     const Response& timeout_response, Done done);
+  void TickNode(const std::shared_ptr<Process>& process);
+  bool Chance(double share) {
+    return std::uniform_real_distribution<double>(0, 1)(random_) < share;
+  }
   double Delay();
-  bool StateRefuses(const std::string& who) const;
+  bool StateRefusesRequestsOf(const std::string& who) const;
   void ExpireLeases();
   void FireWatches();
-  ScaleOutResponse RentNow(const std::string& request, const std::string& zone, bool spot,
-                           int count);
-  void Delete(const std::string& name);
+  ScaleOutResponse ScaleOutNow(const std::string& request, const std::string& zone, bool spot,
+                               int count);
+  void RemoveMachine(const std::string& name);
   void WorkerTick(const std::string& name);
-  void SendReport(const std::string& name);
-  void Reported(const std::string& name, uint64_t number, double sent, double answered,
-                const HeartbeatResponse& r);
-  void NextNode(SimWorker* w, double after_s);
-  void CheckLease(SimWorker* w);
-  void Execute(SimWorker* w, double commanded_at, uint64_t token,
+  void SendHeartbeat(const std::string& name);
+  void HandleHeartbeatResponse(const std::string& name, uint64_t number, double sent,
+                               double responded_at, const HeartbeatResponse& response);
+  void SwitchController(SimWorker* worker, double after_s);
+  void CheckLease(SimWorker* worker);
+  void Execute(SimWorker* worker, double commanded_at, uint64_t token,
                const std::vector<Command>& commands);
-  void Launch(SimWorker* w, double commanded_at, const Command& c);
-  // Remembers when the leader of each term first told a task to stop.
-  // A drain names it: it takes no new tasks.
-  bool Drained(const SimWorker& w) const;
-  void NoteStops(uint64_t token, const std::vector<Command>& commands);
-  void EndTask(SimWorker* w, TaskStatus* t, ExitReason why);
-  double Used(const SimWorker& w) const;
-  // Tasks of gangs start, end, and notice lost ones (cluster_gangs.cc).
+  void Launch(SimWorker* worker, double commanded_at, const Command& command);
+  // Whether a drain selects the machine, which then gets no new tasks.
+  bool IsDraining(const SimWorker& worker) const;
+  // Records when the leader of each term first sent a stop command for a task.
+  void RecordStops(uint64_t token, const std::vector<Command>& commands);
+  void EndTask(SimWorker* worker, TaskStatus* status, ExitReason reason);
+  double UsedCores(const SimWorker& worker) const;
+  // Start and end of the tasks of gangs, and detection of lost members (cluster_gangs.cc).
   struct GangTask {
     SimWorker* worker;
     TaskStatus* task;
   };
   struct GangAttempt {
     bool started = false;
-    double gathers_since = 0;
+    double waiting_since = 0;
     double ends_at = 0;
     double lost_at = -1;
   };
-  void StepGangs();
-  void StepGang(const JobSpec& spec, const std::vector<GangTask>& there, GangAttempt* attempt);
+  void UpdateGangs();
+  void UpdateGang(const JobSpec& spec, const std::vector<GangTask>& present, GangAttempt* attempt);
   void Poll(const std::string& id);
-  void Ask(JobOperation op, const std::string& id,
-           const std::function<void(const JobResponse&)>& done);
-  void Watch();
+  void SendRequest(JobOperation op, const std::string& id,
+                   const std::function<void(const JobResponse&)>& done);
+  void CheckInvariants();
 
   FakeClock clock_;
   FakeState store_;
   FakeCloud cloud_;
   std::multimap<double, std::function<void()>> events_;
   std::mt19937_64 random_;
-  std::vector<std::shared_ptr<Shell>> shells_;
+  std::vector<std::shared_ptr<Process>> processes_;
   uint64_t next_instance_ = 1;
   int next_machine_ = 1;
-  std::map<std::string, std::vector<std::string>> rented_;  // by request
-  std::set<std::string> deleted_;
-  std::map<std::pair<std::string, std::string>, CutNow> cuts_;
-  double state_out_until_ = -1;
+  std::map<std::string, std::vector<std::string>> scaled_out_;  // machines by request id
+  std::set<std::string> removed_;
+  std::map<std::pair<std::string, std::string>, ActivePartition> partitions_;
+  double state_unavailable_until_ = -1;
   std::map<uint64_t, double> lease_until_;
   std::map<uint64_t, double> lease_ttl_;
-  struct Watching {
-    std::weak_ptr<Shell> shell;
+  struct PendingWatch {
+    std::weak_ptr<Process> process;
     uint64_t after;
     double until;
     KeyValueStore::Done done;
   };
-  std::vector<Watching> watching_;
+  std::vector<PendingWatch> pending_watches_;
   std::map<std::string, JobSpec> specs_;
   std::map<std::pair<std::string, uint64_t>, GangAttempt> gangs_;  // by job and attempt
-  // By task, attempt and term.
-  std::map<std::tuple<std::string, uint64_t, uint64_t>, double> stop_sent_;
+  // Time of the first stop command by task, attempt and term.
+  std::map<std::tuple<std::string, uint64_t, uint64_t>, double> first_stop_sent_;
   std::shared_ptr<const DisruptionPolicy> policy_;
   std::set<std::string> accepted_;
-  std::set<std::string> over_;
+  std::set<std::string> reported_done_;
   std::set<std::string> cancelled_;
 };
 
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -86,7 +86,7 @@
   }
   void Pass(double seconds) {
     const double begin = clock.now;
-    for (const double passed : Steps(0.05, seconds + 0.05, 0.05)) {
+    for (const double passed : EvenlySpacedTimes(0.05, seconds + 0.05, 0.05)) {
       clock.now = begin + passed;
       election.Tick();
       state.Run();
@@ -99,11 +99,11 @@
   w.Pass(1);
   ASSERT_EQ(w.won, 1);
   EXPECT_TRUE(w.election.IsLeaseValid());
-  w.state.refuse = true;  // an outage, or a 503 that this controller alone gets
+  w.state.unavailable = true;  // an outage, or a 503 that this controller alone gets
   w.Pass(3);
   EXPECT_FALSE(w.election.IsLeaseValid());
   EXPECT_TRUE(w.election.HoldsKey());
-  w.state.refuse = false;
+  w.state.unavailable = false;
   w.Pass(1);
   EXPECT_TRUE(w.election.IsLeaseValid());
   w.state.EndLease(1);
@@ -113,7 +113,7 @@
 
 TEST(Election, AnAcquisitionWhoseResponseWasLostIsReadBack) {
   ElectionWorld w;
-  w.state.lose_answers = 1;
+  w.state.responses_to_lose = 1;
   w.Pass(1);
   EXPECT_EQ(w.won, 1);
   EXPECT_EQ(w.election.term(), w.state.keys[Election::kKey].version);
@@ -151,10 +151,10 @@
   ElectionWorld w;
   uint64_t known = 0;
   w.election.on_term_bound = [&known](uint64_t bound) { known = bound; };
-  w.state.refuse = true;
+  w.state.unavailable = true;
   w.Pass(1);
   EXPECT_EQ(known, 0U);
-  w.state.refuse = false;
+  w.state.unavailable = false;
   w.state.leases[5] = true;
   w.state.keys[Election::kKey] = {R"({"label":"n1","instance":9,"lease":5})", 50, 5};
   w.Pass(1);
@@ -167,8 +167,8 @@
 }
 
 TEST(RowStore, ABurstOfSubmissionsFitsTheWriteBudget) {
-  World w;
-  w.Lead();
+  LeaderTestEnvironment w;
+  w.StartLeader();
   w.state.committed.clear();
   int accepted = 0;
   for (int i = 0; i < 100; ++i) {
@@ -179,7 +179,7 @@
     w.leader->HandleJobRequest(
         ask, [&accepted](const JobResponse& r) { accepted += r.status == 201 ? 1 : 0; });
   }
-  w.Settle();
+  w.ProcessPending();
   EXPECT_EQ(accepted, 100);
   size_t puts = 0;
   for (const Transaction& t : w.state.committed) {
@@ -221,7 +221,7 @@
   RecordStoreLimits limits;
   limits.fill_bytes = 60;  // one row a page
   RecordStore store(&state, &clock, limits, "leader", 1);
-  state.write_room = 100;
+  state.available_write_tokens = 100;
   std::vector<RecordId> rows;
   rows.reserve(4);
   for (int i = 0; i < 4; ++i) {
@@ -236,7 +236,7 @@
     store.Update(rows[row], std::string(40, text++), 45, urgency);
   };
   // The budget is nearly used up: only what somebody waits for is sent.
-  state.write_room = 1.5;
+  state.available_write_tokens = 1.5;
   change(0, WritePriority::kBackground);
   change(1, WritePriority::kDeferred);
   change(2, WritePriority::kImmediate);
@@ -251,17 +251,17 @@
   EXPECT_TRUE(store.IsDurable(rows[3]));
   EXPECT_FALSE(store.IsDurable(rows[1]));
   // With some budget the end goes, with enough the rest.
-  state.write_room = 3;
+  state.available_write_tokens = 3;
   store.Flush();
   state.Run();
   EXPECT_TRUE(store.IsDurable(rows[1]));
   EXPECT_FALSE(store.IsDurable(rows[0]));
-  state.write_room = 100;
+  state.available_write_tokens = 100;
   store.Flush();
   state.Run();
   EXPECT_TRUE(store.IsDurable(rows[0]));
   // A steady flow of urgent writes holds up neither for ever.
-  state.write_room = 1;
+  state.available_write_tokens = 1;
   change(1, WritePriority::kDeferred);
   change(0, WritePriority::kBackground);
   clock.now += 2;
@@ -269,7 +269,7 @@
   state.Run();
   EXPECT_TRUE(store.IsDurable(rows[1]));
   EXPECT_FALSE(store.IsDurable(rows[0]));
-  state.write_room = 3;
+  state.available_write_tokens = 3;
   clock.now += 5;
   store.Flush();
   state.Run();
--- a/tests/disruption_oracle_test.cc
+++ b/tests/disruption_oracle_test.cc
@@ -13,79 +13,79 @@
 class DisruptionOracleTest : public ::testing::Test {
  protected:
   DisruptionOracleTest() {
-    oracle_.Limit(0, "red", 1);
+    oracle_.SetBudget(0, "red", 1);
     for (int i = 0; i < 3; ++i) Start(0, "job-1/" + std::to_string(i));
   }
   void Start(double now, const std::string& task, const std::string& machine = "m-1") {
     JobSpec spec;
     spec.id = task.substr(0, task.find('/'));
     spec.team = "red";
-    oracle_.Started(now, task, spec, machine);
+    oracle_.TaskStarted(now, task, spec, machine);
   }
   void Stop(double now, const std::string& task) { StopDecidedAt(now, now, task); }
   void StopDecidedAt(double now, double decided_at, const std::string& task) {
-    oracle_.Stopped(now, decided_at, task);
-    oracle_.Ended(now, task, "m-1");
+    oracle_.TaskStopped(now, decided_at, task);
+    oracle_.TaskEnded(now, task, "m-1");
   }
   DisruptionOracle oracle_{kDetect, kLearn, kSettle};
 };
 
 TEST_F(DisruptionOracleTest, NoticesAStopBeyondTheBudget) {
   Stop(100, "job-1/0");
-  EXPECT_TRUE(oracle_.broken().empty());
+  EXPECT_TRUE(oracle_.violations().empty());
   Stop(101, "job-1/1");
-  EXPECT_EQ(oracle_.broken().size(), 1U);
+  EXPECT_EQ(oracle_.violations().size(), 1U);
   EXPECT_EQ(oracle_.stops(), 2U);
-  EXPECT_EQ(oracle_.MostDown("red"), 2U);
+  EXPECT_EQ(oracle_.MaxReplicasDown("red"), 2U);
 }
 
 TEST_F(DisruptionOracleTest, AReplacementHasToSettleFirst) {
   Stop(100, "job-1/0");
   Start(101, "job-1/0", "m-2");
   Stop(104.9, "job-1/1");
-  EXPECT_EQ(oracle_.broken().size(), 1U);
+  EXPECT_EQ(oracle_.violations().size(), 1U);
 }
 
 TEST_F(DisruptionOracleTest, ASettledReplacementIsUp) {
   Stop(100, "job-1/0");
   Start(101, "job-1/0", "m-2");
   Stop(105, "job-1/1");
-  EXPECT_TRUE(oracle_.broken().empty());
+  EXPECT_TRUE(oracle_.violations().empty());
 }
 
 TEST_F(DisruptionOracleTest, ALossCountsOnceItCouldBeKnown) {
   Start(0, "job-2/0", "m-9");
-  oracle_.MachineGone(100, "m-9");
+  oracle_.MachineLost(100, "m-9");
   Stop(104, "job-1/0");
-  EXPECT_TRUE(oracle_.broken().empty());
+  EXPECT_TRUE(oracle_.violations().empty());
   Start(105, "job-1/0");
   Stop(110, "job-1/1");
-  EXPECT_EQ(oracle_.broken().size(), 1U);
+  EXPECT_EQ(oracle_.violations().size(), 1U);
 }
 
 TEST_F(DisruptionOracleTest, AStopThatComesLateIsJudgedByWhatWasKnownThen) {
   Start(0, "job-2/0", "m-9");
-  oracle_.MachineGone(100, "m-9");
+  oracle_.MachineLost(100, "m-9");
   StopDecidedAt(120, 99, "job-1/0");
-  EXPECT_TRUE(oracle_.broken().empty());
+  EXPECT_TRUE(oracle_.violations().empty());
 }
 
 TEST_F(DisruptionOracleTest, ALowerBudgetHoldsAfterItCouldBeLearnt) {
-  oracle_.Limit(100, "red", 0);
+  oracle_.SetBudget(100, "red", 0);
   Stop(107, "job-1/0");
-  EXPECT_TRUE(oracle_.broken().empty());
+  EXPECT_TRUE(oracle_.violations().empty());
   Start(108, "job-1/0");
   Stop(113, "job-1/1");
-  EXPECT_EQ(oracle_.broken().size(), 1U);
+  EXPECT_EQ(oracle_.violations().size(), 1U);
 }
 
 TEST_F(DisruptionOracleTest, JobsThatAreOverAreNotCounted) {
-  oracle_.JobOver("job-1");
+  oracle_.JobCancelled("job-1");
   Stop(100, "job-1/0");
   Stop(100, "job-1/1");
   Start(101, "job-1/0");
-  EXPECT_EQ(oracle_.Down("red"), 0U);
-  EXPECT_TRUE(oracle_.broken().empty());
+  EXPECT_EQ(oracle_.ReplicasDown("red"), 0U);
+  EXPECT_TRUE(oracle_.violations().empty());
 }
 
 }  // namespace
--- a/tests/drain_loopback_test.cc
+++ b/tests/drain_loopback_test.cc
@@ -40,10 +40,10 @@
         controllers_(3, state_at_, cloud_at_,
                      {{"east", "west", "north"}, {"blue", "red"}, 1, 8, 16}),
         state_(&loop_, state_at_),
-        fleet_(&loop_, cloud_at_, FleetOptions(), controllers_.served(), &oracle_),
+        fleet_(&loop_, cloud_at_, FleetOptions(), controllers_.endpoints(), &oracle_),
         users_(&loop_, 8, 1 << 20) {
-    oracle_.Limit(0, "blue", kMostBlue);
-    oracle_.Limit(0, "red", kMostRed);
+    oracle_.SetBudget(0, "blue", kMostBlue);
+    oracle_.SetBudget(0, "red", kMostRed);
   }
 
   static constexpr uint64_t kMostBlue = 1;
@@ -78,7 +78,7 @@
   }
 
   void Submit(const JobSpec& spec) {
-    fleet_.Know(spec);
+    fleet_.AddJob(spec);
     tasks_ += spec.task_count;
     services_.push_back(spec);
     Send(spec, 0);
@@ -87,7 +87,7 @@
     rapidjson::StringBuffer buffer;
     JsonWriter w(buffer);
     WriteJob(w, spec);
-    users_.Call(controllers_.served()[node], {"POST", "/api/jobs", buffer.GetString(), 5},
+    users_.Call(controllers_.endpoints()[node], {"POST", "/api/jobs", buffer.GetString(), 5},
                 [this, spec, node](const HttpResult& r) {
                   if (r.status == 200 || r.status == 201) return;
                   retries_.push_back(std::make_unique<Timer>(
@@ -99,7 +99,7 @@
     uint64_t up = 0;
     for (const JobSpec& spec : services_) {
       for (uint32_t t = 0; t < spec.task_count; ++t) {
-        up += fleet_.Runs(spec.id + "/" + std::to_string(t)) ? 1 : 0;
+        up += fleet_.IsRunning(spec.id + "/" + std::to_string(t)) ? 1 : 0;
       }
     }
     return up;
@@ -109,8 +109,8 @@
   // In turn: the leader killed, a machine lost, the leader frozen for longer than its lease.
   void Trouble(int number) {
     const size_t leader = controllers_.IndexOf(state_.Leader());
-    if (number % 3 == 1 || leader == SIZE_MAX || !controllers_.Running(leader)) {
-      const std::string machine = fleet_.AnyBusy(random_());
+    if (number % 3 == 1 || leader == SIZE_MAX || !controllers_.IsRunning(leader)) {
+      const std::string machine = fleet_.PickBusyMachine(random_());
       if (!machine.empty()) fleet_.Kill(machine);
       return;
     }
@@ -121,7 +121,7 @@
     } else {
       controllers_.Freeze(leader);
       Run(2.5);
-      controllers_.Thaw(leader);
+      controllers_.Resume(leader);
     }
   }
 
@@ -136,7 +136,7 @@
     };
     EXPECT_TRUE(RunUntil(ended, 10));
     EXPECT_EQ(status, expected) << arguments[0];
-    return ReadWhole(path);
+    return ReadFile(path);
   }
 
   Loop loop_;
@@ -180,8 +180,8 @@
   for (int i = 1; i <= 6; ++i) Submit(Service(i, i % 2 == 0 ? "blue" : "red", 3));
   ASSERT_TRUE(RunUntil([this] { return AllUp(); }, 60)) << Up() << " of " << tasks_;
   Run(3);
-  ASSERT_GT(fleet_.Machines("east", ""), 0U);
-  ASSERT_GT(fleet_.Machines("", "old"), 0U);
+  ASSERT_GT(fleet_.CountMachines("east", ""), 0U);
+  ASSERT_GT(fleet_.CountMachines("", "old"), 0U);
   const char* const zones[] = {"(zone \"east\")", "(network \"127.0.20.0/24\")",
                                "(zone \"north\")"};
   const char* const names[] = {"east", "west", "north"};
@@ -198,7 +198,7 @@
     both.append("(type \"").append(type).append("\"))");
     Policy(random_() % 3, both);
     const auto drained = [&] {
-      return fleet_.Machines(zone, "") == 0 && fleet_.Machines("", type) == 0 && AllUp();
+      return fleet_.CountMachines(zone, "") == 0 && fleet_.CountMachines("", type) == 0 && AllUp();
     };
     bool finished = RunUntil(drained, 2);
     const double end = SteadySeconds() + 100;
@@ -206,19 +206,19 @@
       if (!at_once && played < 4) Trouble(played);
       finished = RunUntil(drained, 4);
     }
-    EXPECT_TRUE(finished) << Up() << " of " << tasks_ << " up, " << fleet_.Machines(zone, "")
-                          << " machines in the zone, " << fleet_.Machines("", type)
+    EXPECT_TRUE(finished) << Up() << " of " << tasks_ << " up, " << fleet_.CountMachines(zone, "")
+                          << " machines in the zone, " << fleet_.CountMachines("", type)
                           << " of the type";
     std::cout << "round " << round << ": drained in " << SteadySeconds() - began << " s, "
               << oracle_.stops() << " replicas stopped so far, most down: blue "
-              << oracle_.MostDown("blue") << ", red " << oracle_.MostDown("red") << ", "
-              << fleet_.killed() << " machines killed" << std::endl;
+              << oracle_.MaxReplicasDown("blue") << ", red " << oracle_.MaxReplicasDown("red")
+              << ", " << fleet_.killed() << " machines killed" << std::endl;
     Run(2);
   }
   EXPECT_GE(oracle_.stops(), 4U);
-  EXPECT_EQ(controllers_.EndedByThemselves(), 0);
+  EXPECT_EQ(controllers_.UnexpectedExits(), 0);
   if (!at_once) {
-    for (const std::string& line : oracle_.broken()) ADD_FAILURE() << line;
+    for (const std::string& line : oracle_.violations()) ADD_FAILURE() << line;
   }
   // The leader writes how far drains have come every few seconds.
   const std::string wanted = "type-" + std::to_string(rounds - 1) + ": done";
@@ -230,7 +230,7 @@
   EXPECT_NE(shown.find(wanted), std::string::npos) << shown;
   if (HasFailure()) {
     for (size_t i = 0; i < controllers_.size(); ++i) {
-      std::cout << "--- " << i << "\n" << ReadWhole(controllers_.LogOf(i));
+      std::cout << "--- " << i << "\n" << ReadFile(controllers_.LogOf(i));
     }
   }
 }
--- a/tests/drain_mix_test.cc
+++ b/tests/drain_mix_test.cc
@@ -23,11 +23,11 @@
   std::string Play() {
     const int machines = Chance(0.3) ? 18 : 9;
     for (int i = 0; i < machines; ++i) c_.AddWorker(kZones[i % 3]);
-    c_.rentable = Chance(0.7) ? 20 : 0;
-    if (Chance(0.3)) c_.late_writes = 0.1;
-    if (Chance(0.3)) c_.slow_state_s = 0.3;
-    if (Chance(0.3)) c_.late_commands = 0.2;
-    if (Chance(0.3)) c_.lost_answers = 0.2;
+    c_.available_machines = Chance(0.7) ? 20 : 0;
+    if (Chance(0.3)) c_.delayed_commit_share = 0.1;
+    if (Chance(0.3)) c_.state_delay_s = 0.3;
+    if (Chance(0.3)) c_.delayed_command_share = 0.2;
+    if (Chance(0.3)) c_.lost_response_share = 0.2;
     c_.Run(8);
     for (int i = 0; i < 5; ++i) NewJob();
     c_.Run(15);
@@ -77,7 +77,7 @@
     s.team = kTeams[Index(2)];
     if (Chance(0.2)) s.single_zone = true;
     if (Chance(0.2)) s.anti_affinity = true;
-    c_.run_s = Between(5, 40);
+    c_.array_run_s = Between(5, 40);
     jobs_.push_back(id);
     c_.Submit(s);
   }
@@ -106,7 +106,7 @@
       const uint64_t most = Index(4) == 0 ? 0 : 1 + Index(2);
       budgets += std::string("(team \"") + team + "\" (down \"" + std::to_string(most) +
                  "\") (stopped \"" + std::to_string(Index(6)) + "\")) ";
-      c_.disruption->Limit(c_.now(), team, most);
+      c_.disruption->SetBudget(c_.now(), team, most);
     }
     std::erase_if(drains_, [this](const auto&) { return Chance(0.3); });
     const size_t more = Index(3);
@@ -145,44 +145,46 @@
         c_.Freeze(at, Between(0.5, 12));
         break;
       case 3:
-        c_.Die(Machine());
+        c_.KillMachine(Machine());
         break;
       case 4:
         c_.Hang(Machine(), for_s);
         break;
       case 5:
-        c_.Deaf(Machine(), for_s);
+        c_.MakeOneWayReachable(Machine(), for_s);
         break;
       case 6:
         c_.StateOutage(for_s);
         break;
       case 7:
-        c_.CutZone(kZones[Index(3)], for_s, Chance(0.5) ? CutMode::kHold : CutMode::kDrop);
+        c_.PartitionZone(kZones[Index(3)], for_s,
+                         Chance(0.5) ? PartitionMode::kDelay : PartitionMode::kDrop);
         break;
       case 8:
-        c_.cloud_out = !c_.cloud_out;
+        c_.cloud_unavailable = !c_.cloud_unavailable;
         break;
       case 9:
-        c_.Cut(node, "workers", for_s, CutMode::kHold);
+        c_.Partition(node, "workers", for_s, PartitionMode::kDelay);
         break;
       default:
-        c_.Cut(node, "state", for_s, CutMode::kRefuse);
+        c_.Partition(node, "state", for_s, PartitionMode::kRefuse);
         break;
     }
   }
 
   void Quiet() {
-    c_.late_writes = c_.late_commands = c_.lost_answers = c_.slow_state_s = 0;
-    c_.cloud_out = false;
-    c_.run_s = 3;
+    c_.delayed_commit_share = c_.delayed_command_share = c_.lost_response_share = c_.state_delay_s =
+        0;
+    c_.cloud_unavailable = false;
+    c_.array_run_s = 3;
     for (size_t i = 0; i < 3; ++i) c_.Boot(i);
     for (int i = 0; i < 9; ++i) c_.AddWorker(kZones[i % 3]);
-    c_.oracle->TroubleUntil(c_.now() + 60);
+    c_.oracle->SuspendLivenessChecksUntil(c_.now() + 60);
   }
 
   std::string Verdict() {
-    std::string bad = c_.Broken();
-    for (const std::string& line : c_.disruption->broken()) bad += line + "\n";
+    std::string bad = c_.Violations();
+    for (const std::string& line : c_.disruption->violations()) bad += line + "\n";
     const size_t leader = c_.Leader();
     if (leader == SIZE_MAX) return bad + "nobody leads";
     const std::vector<DrainProgress> progress =
--- a/tests/drain_policy_test.cc
+++ b/tests/drain_policy_test.cc
@@ -233,11 +233,11 @@
   one_.SetLocalPolicy(Revision(3, ""));
   Turn();
   EXPECT_TRUE(one_.IsConfirmed(0));
-  state_.refuse = true;
+  state_.unavailable = true;
   Turn(10);
   EXPECT_FALSE(one_.IsConfirmed(0));
   EXPECT_EQ(one_.in_force()->revision, 3U);
-  state_.refuse = false;
+  state_.unavailable = false;
   Turn();
   EXPECT_TRUE(one_.IsConfirmed(0));
   // A new file: nothing before it is stored.
@@ -276,12 +276,12 @@
 }
 
 TEST_F(ReplicatorTest, AnOutageOrALostAnswerOnlyDelaysIt) {
-  state_.refuse = true;
+  state_.unavailable = true;
   one_.SetLocalPolicy(Revision(3, ""));
   Turn();
   EXPECT_EQ(one_.in_force(), nullptr);
-  state_.refuse = false;
-  state_.lose_answers = 1;
+  state_.unavailable = false;
+  state_.responses_to_lose = 1;
   Turn();
   Turn();
   ASSERT_NE(one_.in_force(), nullptr);
--- a/tests/drain_size_test.cc
+++ b/tests/drain_size_test.cc
@@ -18,21 +18,21 @@
 
 // Drains so many machines out of a fleet, and counts what that took.
 Work DrainSome(size_t machines, size_t drained) {
-  DrainWorld w;
+  DrainTestEnvironment w;
   w.settings.max_sockets = 20000;
-  w.Lead();
+  w.StartLeader();
   std::string selection;
   for (size_t i = 0; i < machines; ++i) {
     const std::string name = "m-" + std::to_string(i);
-    FakeWorker& worker = w.workers.at[name + ":1"];
-    worker.report.machine = name;
-    worker.report.endpoint = name + ":1";
-    worker.report.type = "box";
-    worker.report.zone = i % 2 == 0 ? "east" : "west";
-    worker.report.agent_epoch = 1;
+    FakeWorker& worker = w.workers.by_endpoint[name + ":1"];
+    worker.heartbeat.machine = name;
+    worker.heartbeat.endpoint = name + ":1";
+    worker.heartbeat.type = "box";
+    worker.heartbeat.zone = i % 2 == 0 ? "east" : "west";
+    worker.heartbeat.agent_epoch = 1;
     if (i < drained) selection += "(machine \"" + name + "\") ";
   }
-  w.Watch(4);
+  w.RunAndRecord(4);
   // Three of four places are in use.
   const size_t jobs = machines * 3 / 10;
   for (size_t i = 0; i < jobs; ++i) {
@@ -43,18 +43,18 @@
     ask.job_id = spec.id;
     ask.job = spec;
     w.leader->HandleJobRequest(ask, [](const JobResponse&) {});
-    if (i % 50 == 49) w.Watch(0.5);
+    if (i % 50 == 49) w.RunAndRecord(0.5);
   }
-  w.Watch(10);
-  w.Policy(
+  w.RunAndRecord(10);
+  w.ApplyPolicy(
       "(budgets (team \"red\" (down \"10\")) (team \"blue\" (down \"10\"))) "
       "(steps (settle-s \"2\") (image-wait-s \"0\")) (drains (drain \"some\" " +
       selection + "))");
-  w.Watch(1);
+  w.RunAndRecord(1);
   const uint64_t drain_before = w.leader->eviction_controller().work_units();
   const uint64_t ledger_before = w.leader->ledger().work_units();
   const double began = w.clock.now;
-  EXPECT_TRUE(w.WatchUntilDone("some", 600)) << w.Why("some");
+  EXPECT_TRUE(w.RunUntilDrained("some", 600)) << w.BlockedReason("some");
   Work work;
   work.machines = machines;
   work.seconds = w.clock.now - began;
--- a/tests/drain_world.h
+++ b/tests/drain_world.h
@@ -1,4 +1,5 @@
-// One leader with machines that can be drained: counts from the workers' side what is down.
+// A leader with machines that can be drained. The number of replicas that are down is counted from
+// the state of the workers.
 #pragma once
 
 #include <map>
@@ -12,70 +13,70 @@
 
 namespace deckhall {
 
-// One replica of each team at a time.
+// Budget that allows one replica of each team to be down.
 constexpr const char* kOneDownAtATime =
     "(budgets (default (down \"1\"))) (steps (settle-s \"3\") (image-wait-s \"1\")) ";
 
-class DrainWorld : public World {
+class DrainTestEnvironment : public LeaderTestEnvironment {
  public:
-  DrainWorld();
+  DrainTestEnvironment();
 
-  // The disruption policy with these sections; its revision goes up each time.
-  void Policy(const std::string& sections, bool confirmed = true);
-  // Drains m-1, with one replica down at a time; the drain is called "one".
-  void DrainOne();
-  // A leader, and a service of the team red on m-1.
-  void OneService(uint32_t replicas);
-  // The same, and m-2 with room for it.
-  void OneServiceWithRoomBeside(uint32_t replicas);
-  // Another leader begins, with the policy in force.
-  void NextLeader();
-  // Submits a service of the team and lets it come up.
+  // Applies a disruption policy with these sections and the next revision number.
+  void ApplyPolicy(const std::string& sections, bool confirmed = true);
+  // Drains m-1 with one replica down at a time. The name of the drain is "one".
+  void DrainFirstMachine();
+  // Starts a leader, machine m-1 and a service of the team red on it.
+  void StartOneService(uint32_t replicas);
+  // The same, with machine m-2 that has free capacity for the service.
+  void StartOneServiceWithSpareMachine(uint32_t replicas);
+  // Replaces the leader by a new one with the current policy.
+  void ReplaceLeader();
+  // Submits a service of the team and waits until it runs.
   void StartService(const std::string& id, uint32_t replicas, const std::string& team = "red",
                     double cores = 2);
   void StartService(const JobSpec& spec);
-  // The service is over: it is no longer counted.
-  void Forget(const std::string& id) { services_.erase(id); }
-  // Lets time pass; machines that were rented come up, those that were returned are gone. After
-  // each step notes how much is down.
-  void Watch(double seconds);
-  // Watches until the drain is done; false when it is not in time.
-  bool WatchUntilDone(const std::string& drain, double most_s);
-  // Replicas of the team's services that do not run, as the workers see it.
-  size_t Down(const std::string& team) const;
-  // The most that was down at any time so far, since the last Policy().
-  size_t MostDown(const std::string& team) const;
+  // The replicas of the service are no longer counted.
+  void StopTracking(const std::string& id) { services_.erase(id); }
+  // Advances the time: provisioned machines come up and released machines go away. Records the
+  // maximum of replicas down after each step.
+  void RunAndRecord(double seconds);
+  // RunAndRecord() until the drain is done; false if it is not done within `max_s`.
+  bool RunUntilDrained(const std::string& drain, double max_s);
+  // Counts the replicas of the team's services that do not run on any worker.
+  size_t ReplicasDown(const std::string& team) const;
+  // Maximum of ReplicasDown() since the last ApplyPolicy().
+  size_t MaxReplicasDown(const std::string& team) const;
   DrainProgress Progress(const std::string& drain) const;
-  // Why the drain waits, in words.
-  std::string Why(const std::string& drain) const { return Progress(drain).blocked_reason; }
-  size_t OnMachine(const std::string& machine) const;
-  bool Returned(const std::string& machine) const;
-  bool Runs(const std::string& task) const;
-  // Stops that the worker was told so far are counted by their machine.
-  FakeWorker& At(const std::string& machine) { return workers.at[machine + ":1"]; }
-  void Lose(const std::string& machine);
-  // Tasks that are started there from now on never run.
-  void Break(const std::string& machine) { broken_.insert(machine); }
-  // Tasks of the job that are started from now on never run, wherever that is.
-  void BreakJob(const std::string& job) { broken_jobs_.insert(job); }
-  void Mend(const std::string& machine) { broken_.erase(machine); }
+  std::string BlockedReason(const std::string& drain) const {
+    return Progress(drain).blocked_reason;
+  }
+  size_t ActiveTasksOn(const std::string& machine) const;
+  bool IsReleased(const std::string& machine) const;
+  bool IsRunning(const std::string& task) const;
+  FakeWorker& WorkerAt(const std::string& machine) { return workers.by_endpoint[machine + ":1"]; }
+  void LoseMachine(const std::string& machine);
+  // Tasks that start on the machine from now on do not reach the running state.
+  void BlockStartsOn(const std::string& machine) { machines_without_starts_.insert(machine); }
+  // Tasks of the job that start on any machine from now on do not reach the running state.
+  void BlockStartsOfJob(const std::string& job) { jobs_without_starts_.insert(job); }
+  void UnblockStartsOn(const std::string& machine) { machines_without_starts_.erase(machine); }
 
-  double start_s = 1;  // from a launch until the task runs
+  double task_start_s = 1;  // from the start command until the task runs
 
  private:
-  // Tasks take a while to start.
+  // Moves started tasks to the running state after `task_start_s`.
   void StartTasks();
-  void FollowCloud();
+  void ApplyCloudChanges();
 
   std::shared_ptr<const DisruptionPolicy> policy_;
   uint64_t revision_ = 0;
   std::map<std::string, JobSpec> services_;
-  std::map<std::string, size_t> most_down_;
-  std::map<std::pair<std::string, uint64_t>, double> launched_;  // by task and attempt
-  std::set<std::string> broken_;
-  std::set<std::string> broken_jobs_;
-  size_t booted_ = 0;
-  size_t removed_ = 0;
+  std::map<std::string, size_t> max_replicas_down_;
+  std::map<std::pair<std::string, uint64_t>, double> launched_at_;  // by task and attempt
+  std::set<std::string> machines_without_starts_;
+  std::set<std::string> jobs_without_starts_;
+  size_t booted_machines_ = 0;
+  size_t removed_machines_ = 0;
 };
 
 }  // namespace deckhall
--- a/tests/fakes.h
+++ b/tests/fakes.h
@@ -1,4 +1,5 @@
-// Stand-ins for the outside, scripted by the tests; time moves by hand.
+// Scripted fakes of the clock, the state service, the cloud and the workers, and an environment
+// that runs one leader with them. Tests advance the time explicitly.
 #pragma once
 
 #include <cmath>
@@ -15,8 +16,8 @@
 
 namespace deckhall {
 
-// The times from `from` on, `step` apart, that are before `to`.
-inline std::vector<double> Steps(double from, double to, double step) {
+// Returns the times from `from` (included) to `to` (excluded) at intervals of `step`.
+inline std::vector<double> EvenlySpacedTimes(double from, double to, double step) {
   const auto count = static_cast<size_t>(std::ceil((to - from) / step - 1e-9));
   std::vector<double> times(count);
   for (size_t i = 0; i < count; ++i) times[i] = from + static_cast<double>(i) * step;
@@ -29,8 +30,8 @@
   double Wall() const override { return now + 5e8; }
 };
 
-// A small consistent store. What it does with requests can be scripted: refuse
-// them, or carry them out and lose the answer.
+// An in-memory state service. Tests can make it refuse requests, delay commits, or execute requests
+// and lose the responses.
 struct FakeState : KeyValueStore {
   struct Entry {
     std::string value;
@@ -40,361 +41,369 @@
   std::map<std::string, Entry> keys;
   uint64_t revision = 100;
   uint64_t next_lease = 1;
-  int too_large = 0;
+  int rejected_values = 0;
   std::map<uint64_t, bool> leases;
-  bool refuse = false;   // 503
-  int lose_answers = 0;  // carried out, answer lost
-  int hold_commits = 0;  // not carried out now; see Late()
-  std::vector<Transaction> late;
+  bool unavailable = false;   // requests get 503, except watches and lease revocations
+  int responses_to_lose = 0;  // so many commits are executed without a response
+  int commits_to_delay = 0;   // so many commits wait for ApplyDelayed()
+  std::vector<Transaction> delayed_transactions;
   std::vector<Transaction> committed;
-  double write_room = 100;
-  size_t value_limit = SIZE_MAX;  // larger values get 400
-  size_t ops_limit = SIZE_MAX;    // larger transactions too
-  int too_many_ops = 0;
-  size_t list_page = 1000;    // rows in one answer
-  int fail_lists_after = -1;  // so many lists are answered, then one is not
+  double available_write_tokens = 100;
+  size_t value_limit = SIZE_MAX;  // a transaction with a larger value gets 400
+  size_t ops_limit = SIZE_MAX;    // a transaction with more mutations gets 400
+  int rejected_transactions = 0;
+  size_t list_page_rows = 1000;   // maximum per response
+  int lists_before_failure = -1;  // if not negative, one list fails after so many successful ones
   std::deque<std::function<void()>> queue;
 
   void Run() {
     while (!queue.empty()) {
-      auto fn = std::move(queue.front());
+      auto callback = std::move(queue.front());
       queue.pop_front();
-      fn();
+      callback();
     }
   }
-  void Answer(Done done, KeyValueResponse answer) {
-    queue.push_back([done = std::move(done), answer = std::move(answer)] { done(answer); });
+  void EnqueueResponse(Done done, KeyValueResponse response) {
+    queue.push_back([done = std::move(done), response = std::move(response)] { done(response); });
   }
   KeyValueResponse Apply(const Transaction& txn) {
-    KeyValueResponse a;
+    KeyValueResponse response;
     if (txn.mutations.size() > ops_limit) {
-      ++too_many_ops;
-      a.status = KeyValueStatus::kInvalid;
-      return a;
+      ++rejected_transactions;
+      response.status = KeyValueStatus::kInvalid;
+      return response;
     }
-    a.status = KeyValueStatus::kConflict;
-    for (const auto& c : txn.preconditions) {
-      auto it = keys.find(c.key);
-      if ((it == keys.end() ? 0 : it->second.version) != c.version) return a;
+    response.status = KeyValueStatus::kConflict;
+    for (const auto& precondition : txn.preconditions) {
+      auto it = keys.find(precondition.key);
+      if ((it == keys.end() ? 0 : it->second.version) != precondition.version) return response;
     }
-    for (const auto& w : txn.mutations) {
-      if (w.lease != 0 && !leases.contains(w.lease)) return a;
-      if (w.value.size() > value_limit) {
-        ++too_large;
-        a.status = KeyValueStatus::kInvalid;
-        return a;
+    for (const auto& mutation : txn.mutations) {
+      if (mutation.lease != 0 && !leases.contains(mutation.lease)) return response;
+      if (mutation.value.size() > value_limit) {
+        ++rejected_values;
+        response.status = KeyValueStatus::kInvalid;
+        return response;
       }
     }
     ++revision;
-    for (const auto& w : txn.mutations) {
-      if (w.value.empty()) {
-        keys.erase(w.key);
+    for (const auto& mutation : txn.mutations) {
+      if (mutation.value.empty()) {
+        keys.erase(mutation.key);
       } else {
-        keys[w.key] = {w.value, revision, w.lease};
+        keys[mutation.key] = {mutation.value, revision, mutation.lease};
       }
     }
     committed.push_back(txn);
-    a.status = KeyValueStatus::kOk;
-    a.revision_or_lease = revision;
-    return a;
+    response.status = KeyValueStatus::kOk;
+    response.revision_or_lease = revision;
+    return response;
   }
-  // A transaction that was held back is applied after all.
-  void Late() {
-    for (const Transaction& t : std::exchange(late, {})) Apply(t);
+  // Applies the delayed transactions.
+  void ApplyDelayed() {
+    for (const Transaction& transaction : std::exchange(delayed_transactions, {}))
+      Apply(transaction);
   }
   void Commit(const Transaction& txn, Done done) override {
-    KeyValueResponse a;
-    if (refuse) {
-      a.status = KeyValueStatus::kUnavailable;
-    } else if (hold_commits > 0) {
-      --hold_commits;
-      late.push_back(txn);
+    KeyValueResponse response;
+    if (unavailable) {
+      response.status = KeyValueStatus::kUnavailable;
+    } else if (commits_to_delay > 0) {
+      --commits_to_delay;
+      delayed_transactions.push_back(txn);
     } else {
-      a = Apply(txn);
-      if (lose_answers > 0) {
-        --lose_answers;
-        a = KeyValueResponse();
+      response = Apply(txn);
+      if (responses_to_lose > 0) {
+        --responses_to_lose;
+        response = KeyValueResponse();
       }
     }
-    Answer(std::move(done), a);
+    EnqueueResponse(std::move(done), response);
   }
   void Get(const std::string& key, Done done) override {
-    KeyValueResponse a;
-    a.status = refuse ? KeyValueStatus::kUnavailable : KeyValueStatus::kOk;
+    KeyValueResponse response;
+    response.status = unavailable ? KeyValueStatus::kUnavailable : KeyValueStatus::kOk;
     auto it = keys.find(key);
     if (it != keys.end()) {
-      a.found = true;
-      a.entries.push_back({key, it->second.value, it->second.version});
+      response.found = true;
+      response.entries.push_back({key, it->second.value, it->second.version});
     }
-    a.revision_or_lease = revision;
-    Answer(std::move(done), a);
+    response.revision_or_lease = revision;
+    EnqueueResponse(std::move(done), response);
   }
   void List(const std::string& prefix, const std::string& after, Done done) override {
-    KeyValueResponse a;
-    a.status = refuse ? KeyValueStatus::kUnavailable : KeyValueStatus::kOk;
-    if (fail_lists_after >= 0 && fail_lists_after-- == 0) a.status = KeyValueStatus::kUnavailable;
-    for (const auto& [key, e] : keys) {
+    KeyValueResponse response;
+    response.status = unavailable ? KeyValueStatus::kUnavailable : KeyValueStatus::kOk;
+    if (lists_before_failure >= 0 && lists_before_failure-- == 0)
+      response.status = KeyValueStatus::kUnavailable;
+    for (const auto& [key, entry] : keys) {
       if (!key.starts_with(prefix) || key <= after) continue;
-      a.truncated = a.entries.size() >= list_page;
-      if (a.truncated) break;
-      a.entries.push_back({key, e.value, e.version});
+      response.truncated = response.entries.size() >= list_page_rows;
+      if (response.truncated) break;
+      response.entries.push_back({key, entry.value, entry.version});
     }
-    a.revision_or_lease = revision;
-    Answer(std::move(done), a);
+    response.revision_or_lease = revision;
+    EnqueueResponse(std::move(done), response);
   }
   void GrantLease(int, Done done) override {
-    KeyValueResponse a;
-    a.status = refuse ? KeyValueStatus::kUnavailable : KeyValueStatus::kOk;
-    a.revision_or_lease = next_lease++;
-    if (!refuse) leases[a.revision_or_lease] = true;
-    Answer(std::move(done), a);
+    KeyValueResponse response;
+    response.status = unavailable ? KeyValueStatus::kUnavailable : KeyValueStatus::kOk;
+    response.revision_or_lease = next_lease++;
+    if (!unavailable) leases[response.revision_or_lease] = true;
+    EnqueueResponse(std::move(done), response);
   }
   void KeepAliveLease(uint64_t lease, double, Done done) override {
-    KeyValueResponse a;
-    a.status = refuse                   ? KeyValueStatus::kUnavailable
-               : leases.contains(lease) ? KeyValueStatus::kOk
-                                        : KeyValueStatus::kConflict;
-    Answer(std::move(done), a);
+    KeyValueResponse response;
+    response.status = unavailable              ? KeyValueStatus::kUnavailable
+                      : leases.contains(lease) ? KeyValueStatus::kOk
+                                               : KeyValueStatus::kConflict;
+    EnqueueResponse(std::move(done), response);
   }
   void EndLease(uint64_t lease) {
     leases.erase(lease);
-    std::erase_if(keys, [lease](const auto& e) { return e.second.lease == lease; });
+    std::erase_if(keys, [lease](const auto& entry) { return entry.second.lease == lease; });
     ++revision;
   }
   void RevokeLease(uint64_t lease, Done done) override {
     EndLease(lease);
-    KeyValueResponse a;
-    a.status = KeyValueStatus::kOk;
-    Answer(std::move(done), a);
+    KeyValueResponse response;
+    response.status = KeyValueStatus::kOk;
+    EnqueueResponse(std::move(done), response);
   }
   void Watch(const std::string&, uint64_t, int, Done done) override {
     watches.push_back(std::move(done));
   }
   std::vector<Done> watches;
-  double AvailableWriteTokens() override { return write_room; }
+  double AvailableWriteTokens() override { return available_write_tokens; }
 };
 
 struct FakeCloud : CloudProvider {
   std::vector<MachineType> types;
-  std::vector<std::pair<std::string, int>> rented;         // request, count
-  std::vector<std::string> zones;                          // of the machines rented
-  std::vector<std::pair<std::string, std::string>> given;  // machines rented, with their zones
-  std::vector<std::string> returned;
-  std::vector<CloudInstance> listed;
-  bool out = false;
-  bool refuse = false;
-  int next = 0;
+  std::vector<std::pair<std::string, int>> scale_out_requests;   // request id, count
+  std::vector<std::string> scale_out_zones;                      // of the scale-out requests
+  std::vector<std::pair<std::string, std::string>> provisioned;  // machine, zone
+  std::vector<std::string> released;
+  std::vector<CloudInstance> instances;
+  bool unavailable = false;
+  bool out_of_capacity = false;
+  int next_machine = 0;
   std::deque<std::function<void()>> queue;
 
   void Run() {
     while (!queue.empty()) {
-      auto fn = std::move(queue.front());
+      auto callback = std::move(queue.front());
       queue.pop_front();
-      fn();
+      callback();
     }
   }
   void ListTypes(std::function<void(bool, std::vector<MachineType>)> done) override {
-    queue.push_back([this, done] { done(!out, types); });
+    queue.push_back([this, done] { done(!unavailable, types); });
   }
   void ScaleOut(const std::string& request, const std::string&, const std::string& zone, bool,
                 int count, std::function<void(ScaleOutResponse)> done) override {
-    zones.push_back(zone);
-    rented.emplace_back(request, count);
-    ScaleOutResponse a;
-    a.ok = !out && !refuse;
-    a.out_of_capacity = refuse;
-    for (int i = 0; i < count && a.ok; ++i) {
-      a.machines.push_back("m-9" + std::to_string(next++));
-      given.emplace_back(a.machines.back(), zone);
+    scale_out_zones.push_back(zone);
+    scale_out_requests.emplace_back(request, count);
+    ScaleOutResponse response;
+    response.ok = !unavailable && !out_of_capacity;
+    response.out_of_capacity = out_of_capacity;
+    for (int i = 0; i < count && response.ok; ++i) {
+      response.machines.push_back("m-9" + std::to_string(next_machine++));
+      provisioned.emplace_back(response.machines.back(), zone);
     }
-    queue.push_back([done, a] { done(a); });
+    queue.push_back([done, response] { done(response); });
   }
   void ScaleIn(const std::vector<std::string>& machines, std::function<void(bool)> done) override {
-    if (!out) returned.insert(returned.end(), machines.begin(), machines.end());
-    queue.push_back([this, done] { done(!out); });
+    if (!unavailable) released.insert(released.end(), machines.begin(), machines.end());
+    queue.push_back([this, done] { done(!unavailable); });
   }
   void ListInstances(const std::string&,
                      std::function<void(bool, std::vector<CloudInstance>, bool)> done) override {
-    queue.push_back([this, done] { done(!listed.empty(), listed, false); });
+    queue.push_back([this, done] { done(!instances.empty(), instances, false); });
   }
 };
 
-// Tasks of the job that have not ended.
-inline size_t CountTasks(const Heartbeat& report, const std::string& job) {
+// Counts the tasks of the job that have not exited.
+inline size_t CountActiveTasks(const Heartbeat& heartbeat, const std::string& job) {
   return static_cast<size_t>(
-      std::count_if(report.tasks.begin(), report.tasks.end(), [&job](const TaskStatus& t) {
+      std::count_if(heartbeat.tasks.begin(), heartbeat.tasks.end(), [&job](const TaskStatus& t) {
         return t.state != TaskState::kExited && t.task_name.starts_with(job + "/");
       }));
 }
 
-// Workers that answer commands as PROTOCOL says, unless they are silent.
+// A worker that executes commands as described in PROTOCOL, with scripted faults.
 struct FakeWorker {
-  Heartbeat report;
-  bool silent = false;   // nothing arrives, nothing is answered
-  bool deaf = false;     // reports arrive; answers and commands don't reach it
-  bool unsent = false;   // commands sent straight find no connection
-  bool mute = false;     // commands sent straight are never answered, nor given up
-  bool stuck = false;    // tasks that are started never run: their image does not come
-  int lose_answers = 0;  // executed, answer lost
-  int hold = 0;          // commands held back; see Late()
-  std::vector<std::pair<uint64_t, std::pair<uint64_t, std::vector<Command>>>> held;
-  std::vector<std::string> started;
-  std::set<std::string> gangs;  // jobs whose tasks gather before they run, and save when stopped
-  double save_s = 0;            // for which a stop must leave time, or they just exit
+  Heartbeat heartbeat;
+  bool unresponsive = false;         // sends no heartbeats and receives no requests
+  bool one_way_reachable = false;    // its heartbeats arrive; responses and requests to it are lost
+  bool refuses_connections = false;  // direct commands fail before they are sent
+  bool commands_never_complete = false;  // direct commands get neither a response nor a timeout
+  bool image_fetch_stuck = false;        // started tasks stay in the fetching state
+  int responses_to_lose = 0;  // so many direct batches of commands are executed without a response
+  int batches_to_delay = 0;   // so many direct batches of commands wait for DeliverDelayed()
+  std::vector<std::pair<uint64_t, std::pair<uint64_t, std::vector<Command>>>> delayed_batches;
+  std::vector<std::string> started_tasks;
+  // Jobs whose tasks wait for their gang, and write a checkpoint when they are stopped.
+  std::set<std::string> gang_jobs;
+  double checkpoint_s = 0;  // with a shorter grace period they exit without a checkpoint
 
   bool InGang(const std::string& task) const {
-    return gangs.contains(task.substr(0, task.rfind('/')));
+    return gang_jobs.contains(task.substr(0, task.rfind('/')));
   }
-  void Stop(TaskStatus* task, double grace_s) {
-    const bool saves = InGang(task->task_name) && grace_s >= save_s;
-    if (task->state == TaskState::kRunning && saves) {
+  void StopTask(TaskStatus* task, double grace_s) {
+    const bool checkpoints = InGang(task->task_name) && grace_s >= checkpoint_s;
+    if (task->state == TaskState::kRunning && checkpoints) {
       task->state = TaskState::kCheckpointing;
     } else if (task->state != TaskState::kCheckpointing || grace_s == 0) {
-      End(task->task_name, ExitReason::kStopped);
+      EndTask(task->task_name, ExitReason::kStopped);
     }
   }
   void Execute(uint64_t token, const std::vector<Command>& commands) {
-    report.fencing_token = std::max(report.fencing_token, token);
-    for (const Command& c : commands) {
-      auto it = std::find_if(report.tasks.begin(), report.tasks.end(), [&c](const TaskStatus& t) {
-        return t.task_name == c.task_name && t.attempt == c.attempt;
-      });
-      if (c.operation == CommandOp::kStart && it == report.tasks.end()) {
-        const TaskState state = stuck                 ? TaskState::kFetching
-                                : InGang(c.task_name) ? TaskState::kWaitingForGang
-                                                      : TaskState::kRunning;
-        report.tasks.push_back({c.task_name, c.attempt, state, ExitReason::kNone, false});
-        started.push_back(c.task_name);
-      } else if (c.operation == CommandOp::kStop && it != report.tasks.end()) {
-        Stop(&*it, c.grace_period_s);
-      } else if (c.operation == CommandOp::kAcknowledgeExit && it != report.tasks.end()) {
-        report.tasks.erase(it);
+    heartbeat.fencing_token = std::max(heartbeat.fencing_token, token);
+    for (const Command& command : commands) {
+      auto it = std::find_if(
+          heartbeat.tasks.begin(), heartbeat.tasks.end(), [&command](const TaskStatus& status) {
+            return status.task_name == command.task_name && status.attempt == command.attempt;
+          });
+      if (command.operation == CommandOp::kStart && it == heartbeat.tasks.end()) {
+        const TaskState state = image_fetch_stuck           ? TaskState::kFetching
+                                : InGang(command.task_name) ? TaskState::kWaitingForGang
+                                                            : TaskState::kRunning;
+        heartbeat.tasks.push_back(
+            {command.task_name, command.attempt, state, ExitReason::kNone, false});
+        started_tasks.push_back(command.task_name);
+      } else if (command.operation == CommandOp::kStop && it != heartbeat.tasks.end()) {
+        StopTask(&*it, command.grace_period_s);
+      } else if (command.operation == CommandOp::kAcknowledgeExit && it != heartbeat.tasks.end()) {
+        heartbeat.tasks.erase(it);
       }
     }
   }
-  void End(const std::string& task, ExitReason why) {
-    for (TaskStatus& t : report.tasks) {
-      if (t.task_name == task && t.state != TaskState::kExited) {
-        t.state = TaskState::kExited;
-        t.exit_reason = why;
+  void EndTask(const std::string& task, ExitReason reason) {
+    for (TaskStatus& status : heartbeat.tasks) {
+      if (status.task_name == task && status.state != TaskState::kExited) {
+        status.state = TaskState::kExited;
+        status.exit_reason = reason;
       }
     }
   }
-  bool Has(const std::string& task) const {
-    return std::any_of(report.tasks.begin(), report.tasks.end(), [&task](const TaskStatus& t) {
-      return t.task_name == task && t.state != TaskState::kExited;
-    });
-  }
-  // Tasks of the job that are on the machine.
-  size_t Count(const std::string& job) const { return CountTasks(report, job); }
-  // Commands that were held back arrive.
-  void Late() {
-    for (auto& [token, rest] : std::exchange(held, {})) {
-      if (token >= report.fencing_token && rest.first == report.agent_epoch)
-        Execute(token, rest.second);
+  bool HasTask(const std::string& task) const {
+    return std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(),
+                       [&task](const TaskStatus& status) {
+                         return status.task_name == task && status.state != TaskState::kExited;
+                       });
+  }
+  // Counts the tasks of the job on this machine that have not exited.
+  size_t ActiveTasks(const std::string& job) const { return CountActiveTasks(heartbeat, job); }
+  // Delivers the delayed batches. Batches with an old fencing token or agent epoch are ignored.
+  void DeliverDelayed() {
+    for (auto& [token, epoch_and_commands] : std::exchange(delayed_batches, {})) {
+      if (token >= heartbeat.fencing_token && epoch_and_commands.first == heartbeat.agent_epoch)
+        Execute(token, epoch_and_commands.second);
     }
   }
 };
 
 struct FakeWorkers : WorkerClient {
-  std::map<std::string, FakeWorker> at;  // by endpoint
+  std::map<std::string, FakeWorker> by_endpoint;
   std::deque<std::function<void()>> queue;
 
   void Run() {
     while (!queue.empty()) {
-      auto fn = std::move(queue.front());
+      auto callback = std::move(queue.front());
       queue.pop_front();
-      fn();
+      callback();
     }
   }
-  void SendCommands(const std::string& endpoint, uint64_t token, uint64_t session,
+  void SendCommands(const std::string& endpoint, uint64_t token, uint64_t agent_epoch,
                     const std::vector<Command>& commands, double, Done done) override {
-    FakeWorker& w = at[endpoint];
-    WorkerResponse a;
-    a.sent = true;
-    if (w.mute) return;
-    if (w.unsent) {
+    FakeWorker& worker = by_endpoint[endpoint];
+    WorkerResponse response;
+    response.sent = true;
+    if (worker.commands_never_complete) return;
+    if (worker.refuses_connections) {
       queue.push_back([done] { done(WorkerResponse()); });
       return;
     }
-    if (w.hold > 0) {
-      --w.hold;
-      w.held.push_back({token, {session, commands}});
-    } else if (!w.silent && !w.deaf) {
-      const bool ok = token >= w.report.fencing_token && session == w.report.agent_epoch;
-      if (ok) w.Execute(token, commands);
-      ++w.report.sequence;
-      a.status = ok ? 200 : 409;
-      a.has_heartbeat = true;
-      a.heartbeat = w.report;
-      if (w.lose_answers > 0) {
-        --w.lose_answers;
-        a = WorkerResponse();
-        a.sent = true;
+    if (worker.batches_to_delay > 0) {
+      --worker.batches_to_delay;
+      worker.delayed_batches.push_back({token, {agent_epoch, commands}});
+    } else if (!worker.unresponsive && !worker.one_way_reachable) {
+      const bool ok =
+          token >= worker.heartbeat.fencing_token && agent_epoch == worker.heartbeat.agent_epoch;
+      if (ok) worker.Execute(token, commands);
+      ++worker.heartbeat.sequence;
+      response.status = ok ? 200 : 409;
+      response.has_heartbeat = true;
+      response.heartbeat = worker.heartbeat;
+      if (worker.responses_to_lose > 0) {
+        --worker.responses_to_lose;
+        response = WorkerResponse();
+        response.sent = true;
       }
     }
-    queue.push_back([done, a] { done(a); });
+    queue.push_back([done, response] { done(response); });
   }
   void Probe(const std::string& endpoint, double, Done done) override {
-    FakeWorker& w = at[endpoint];
-    WorkerResponse a;
-    a.sent = true;
-    if (!w.silent && !w.deaf) {
-      ++w.report.sequence;
-      a.status = 200;
-      a.has_heartbeat = true;
-      a.heartbeat = w.report;
+    FakeWorker& worker = by_endpoint[endpoint];
+    WorkerResponse response;
+    response.sent = true;
+    if (!worker.unresponsive && !worker.one_way_reachable) {
+      ++worker.heartbeat.sequence;
+      response.status = 200;
+      response.has_heartbeat = true;
+      response.heartbeat = worker.heartbeat;
     }
-    queue.push_back([done, a] { done(a); });
+    queue.push_back([done, response] { done(response); });
   }
 };
 
 struct FakeLease : LeadershipLease {
   const FakeClock* clock = nullptr;
-  double until = 1e12;
-  bool IsLeaseValid() const override { return clock->now < until; }
-  double LeaseValidUntil() const override { return until; }
+  double valid_until = 1e12;
+  bool IsLeaseValid() const override { return clock->now < valid_until; }
+  double LeaseValidUntil() const override { return valid_until; }
 };
 
 inline JobSpec ArraySpec(const std::string& id, uint32_t tasks, double cores) {
-  JobSpec s;
-  s.id = id;
-  s.job_class = "sums";
-  s.team = "blue";
-  s.task_count = tasks;
-  s.cores = cores;
-  s.memory_gb = 4;
-  s.image = "img";
-  s.image_gb = 1;
-  s.estimated_runtime_s = 30;
-  return s;
+  JobSpec spec;
+  spec.id = id;
+  spec.job_class = "sums";
+  spec.team = "blue";
+  spec.task_count = tasks;
+  spec.cores = cores;
+  spec.memory_gb = 4;
+  spec.image = "img";
+  spec.image_gb = 1;
+  spec.estimated_runtime_s = 30;
+  return spec;
 }
 
 inline JobSpec ServiceSpec(const std::string& id, uint32_t tasks, double cores) {
-  JobSpec s = ArraySpec(id, tasks, cores);
-  s.job_class = "live";
-  s.service = true;
-  s.priority = Priority::kProduction;
-  s.estimated_runtime_s = 0;
-  return s;
+  JobSpec spec = ArraySpec(id, tasks, cores);
+  spec.job_class = "live";
+  spec.service = true;
+  spec.priority = Priority::kProduction;
+  spec.estimated_runtime_s = 0;
+  return spec;
 }
 
-// The only type of machine.
+// The machine type of the fake cloud.
 inline MachineType BoxType(const std::vector<std::string>& zones) {
-  MachineType t;
-  t.name = "box";
-  t.cores = 8;
-  t.memory_gb = 64;
-  t.price = 1;
-  t.spot_price = 0.4;
-  t.boot_s = 30;
-  t.fetch_gb_per_s = 1;
-  t.zones = zones;
-  return t;
+  MachineType type;
+  type.name = "box";
+  type.cores = 8;
+  type.memory_gb = 64;
+  type.price = 1;
+  type.spot_price = 0.4;
+  type.boot_s = 30;
+  type.fetch_gb_per_s = 1;
+  type.zones = zones;
+  return type;
 }
 
-// Everything around one leader; a second one can take over the same store.
-struct World {
+// A leader with fakes of its surroundings. A further StartLeader() replaces the leader by one that
+// reads the same state.
+struct LeaderTestEnvironment {
   FakeClock clock;
   FakeState state;
   FakeCloud cloud;
@@ -403,42 +412,42 @@
   Settings settings;
   Tuning tuning;
   std::unique_ptr<Leader> leader;
-  std::vector<std::unique_ptr<Leader>> former;
-  bool deposed = false;
-  double no_later_term_since = -1;  // see LeaderPorts
-  std::string lead_doubtful;        // zone to which the way is blocked
-  std::string former_leader_zone;   // of whoever led before
+  std::vector<std::unique_ptr<Leader>> former_leaders;
+  bool leadership_lost = false;
+  double no_later_term_since = -1;  // see LeaderPorts; not used if negative
+  std::string suspected_zone;      // zone that the leader suspects to be partitioned; none if empty
+  std::string former_leader_zone;  // zone of the previous leader
 
-  World() {
+  LeaderTestEnvironment() {
     lease.clock = &clock;
     settings.label = "n0";
     settings.zones = {"east", "west"};
     settings.teams = {{"blue", 8, 16, 0, 0}, {"red", 0, 0, 0, 0}};
     settings.lease_s = 20;
     settings.cancel_s = 40;
-    // Idle machines stay, unless a test is about that.
+    // Idle machines are not released, except in tests of the release.
     tuning.idle_spot_boots = tuning.idle_ordinary_boots = 1000;
     cloud.types = {BoxType(settings.zones)};
   }
-  void Lead() {
+  void StartLeader() {
     if (leader) {
       leader->Retire();
-      former.push_back(std::move(leader));
+      former_leaders.push_back(std::move(leader));
     }
     ++state.revision;
     state.keys["leader"] = {"{}", state.revision, 0};
-    lease.until = 1e12;
+    lease.valid_until = 1e12;
     LeaderPorts ports{&state, &cloud,  &workers, &clock,
                       &lease, nullptr, nullptr,  former_leader_zone};
     if (no_later_term_since >= 0)
       ports.no_later_term_since = [this](uint64_t) { return no_later_term_since; };
-    ports.is_zone_suspected = [this](const std::string& zone) { return zone == lead_doubtful; };
+    ports.is_zone_suspected = [this](const std::string& zone) { return zone == suspected_zone; };
     leader = std::make_unique<Leader>(ports, &settings, &tuning, "leader", state.revision);
-    leader->on_leadership_lost = [this](const char*) { deposed = true; };
+    leader->on_leadership_lost = [this](const char*) { leadership_lost = true; };
     leader->Start();
-    Settle();
+    ProcessPending();
   }
-  void Settle() {
+  void ProcessPending() {
     for (int i = 0; i < 12; ++i) {
       state.Run();
       cloud.Run();
@@ -446,38 +455,40 @@
       if (leader) leader->Tick();
     }
   }
-  // Lets time pass in small steps; workers that are not silent report.
-  void Pass(double seconds, bool reports = true) {
+  // Advances the time in steps of 0.5 s. Unless `heartbeats` is false, every responsive worker
+  // sends a heartbeat in each step.
+  void AdvanceTime(double seconds, bool heartbeats = true) {
     const double end = clock.now + seconds;
     while (clock.now < end) {
       clock.now += 0.5;
-      if (reports) {
-        for (auto& [endpoint, w] : workers.at) ReportNow(&w);
+      if (heartbeats) {
+        for (auto& [endpoint, worker] : workers.by_endpoint) SendHeartbeat(&worker);
       }
-      Settle();
+      ProcessPending();
     }
   }
-  void ReportNow(FakeWorker* w) {
-    if (w->silent || w->report.machine.empty()) return;
-    ++w->report.sequence;
-    const HeartbeatResponse reply = leader->HandleHeartbeat(w->report);
-    if (reply.status == 200 && reply.fencing_token >= w->report.fencing_token && !w->deaf) {
-      w->Execute(reply.fencing_token, reply.commands);
+  void SendHeartbeat(FakeWorker* worker) {
+    if (worker->unresponsive || worker->heartbeat.machine.empty()) return;
+    ++worker->heartbeat.sequence;
+    const HeartbeatResponse response = leader->HandleHeartbeat(worker->heartbeat);
+    if (response.status == 200 && response.fencing_token >= worker->heartbeat.fencing_token &&
+        !worker->one_way_reachable) {
+      worker->Execute(response.fencing_token, response.commands);
     }
   }
-  FakeWorker& Machine(const std::string& name, const std::string& zone, bool spot = false) {
-    FakeWorker& w = workers.at[name + ":1"];
-    w.report.machine = name;
-    w.report.endpoint = name + ":1";
-    w.report.type = "box";
-    w.report.zone = zone;
-    w.report.spot = spot;
-    w.report.agent_epoch = 1;
-    ReportNow(&w);
-    Settle();
-    ReportNow(&w);
-    Settle();
-    return w;
+  FakeWorker& AddMachine(const std::string& name, const std::string& zone, bool spot = false) {
+    FakeWorker& worker = workers.by_endpoint[name + ":1"];
+    worker.heartbeat.machine = name;
+    worker.heartbeat.endpoint = name + ":1";
+    worker.heartbeat.type = "box";
+    worker.heartbeat.zone = zone;
+    worker.heartbeat.spot = spot;
+    worker.heartbeat.agent_epoch = 1;
+    SendHeartbeat(&worker);
+    ProcessPending();
+    SendHeartbeat(&worker);
+    ProcessPending();
+    return worker;
   }
   JobSpec Array(const std::string& id, uint32_t tasks, double cores = 2) {
     return ArraySpec(id, tasks, cores);
@@ -485,20 +496,23 @@
   JobSpec Service(const std::string& id, uint32_t tasks, double cores = 2) {
     return ServiceSpec(id, tasks, cores);
   }
-  JobResponse Ask(JobOperation op, const std::string& id, const JobSpec* spec = nullptr,
-                  const std::string& invalid = "") {
-    JobRequest ask;
-    ask.operation = op;
-    ask.job_id = id;
-    ask.validation_error = invalid;
-    if (spec != nullptr) ask.job = *spec;
-    auto out = std::make_shared<JobResponse>();
-    out->status = 0;
-    leader->HandleJobRequest(ask, [out](const JobResponse& r) { *out = r; });
-    Settle();
-    return *out;
-  }
-  JobResponse Submit(const JobSpec& spec) { return Ask(JobOperation::kSubmit, spec.id, &spec); }
+  JobResponse SendRequest(JobOperation op, const std::string& id, const JobSpec* spec = nullptr,
+                          const std::string& invalid = "") {
+    JobRequest request;
+    request.operation = op;
+    request.job_id = id;
+    request.validation_error = invalid;
+    if (spec != nullptr) request.job = *spec;
+    auto response = std::make_shared<JobResponse>();
+    response->status = 0;
+    leader->HandleJobRequest(request,
+                             [response](const JobResponse& received) { *response = received; });
+    ProcessPending();
+    return *response;
+  }
+  JobResponse Submit(const JobSpec& spec) {
+    return SendRequest(JobOperation::kSubmit, spec.id, &spec);
+  }
 };
 
 }  // namespace deckhall
--- a/tests/gang_test.cc
+++ b/tests/gang_test.cc
@@ -8,329 +8,329 @@
 namespace {
 
 TEST(Gang, IsRefusedWhenAllOfItNeedsMoreThanTheLimit) {
-  GangWorld w;
-  w.Lead();
-  EXPECT_EQ(w.Submit(w.Gang("job-1", 21)).status, 422);  // 42 cores of 40
-  EXPECT_EQ(w.Submit(w.Gang("job-2", 20)).status, 201);
-  EXPECT_EQ(w.Submit(w.Gang("job-2", 20)).status, 200);
-  EXPECT_EQ(w.Submit(w.Gang("job-3", 1, 9)).status, 422);  // fits no machine
+  GangTestEnvironment w;
+  w.StartLeader();
+  EXPECT_EQ(w.Submit(w.GangJob("job-1", 21)).status, 422);  // 42 cores of 40
+  EXPECT_EQ(w.Submit(w.GangJob("job-2", 20)).status, 201);
+  EXPECT_EQ(w.Submit(w.GangJob("job-2", 20)).status, 200);
+  EXPECT_EQ(w.Submit(w.GangJob("job-3", 1, 9)).status, 422);  // fits no machine
 }
 
 TEST(Gang, StartsOnlyWhenAllOfItIsWithinTheLimit) {
-  GangWorld w;
+  GangTestEnvironment w;
   w.settings.teams[0].cores_max = 8;
-  w.Lead();
-  for (int i = 0; i < 3; ++i) w.Box("m-" + std::to_string(i), "east");
-  w.Submit(w.Gang("job-1", 3));
+  w.StartLeader();
+  for (int i = 0; i < 3; ++i) w.AddGangMachine("m-" + std::to_string(i), "east");
+  w.Submit(w.GangJob("job-1", 3));
   w.Run(2);
-  EXPECT_EQ(w.In("job-1", TaskState::kRunning), 3U);
-  w.Submit(w.Gang("job-2", 2));
+  EXPECT_EQ(w.TasksInState("job-1", TaskState::kRunning), 3U);
+  w.Submit(w.GangJob("job-2", 2));
   w.Run(5);
-  EXPECT_EQ(w.Starts("job-2"), 0U);
+  EXPECT_EQ(w.StartCount("job-2"), 0U);
   w.Complete("job-1");
   w.Run(3);
-  EXPECT_EQ(w.In("job-2", TaskState::kRunning), 2U);
+  EXPECT_EQ(w.TasksInState("job-2", TaskState::kRunning), 2U);
 }
 
 TEST(Gang, GoesToTheZoneThatHasRoomForAllOfIt) {
-  GangWorld w;
-  w.Lead();
-  w.Box("m-1", "east");
-  w.Box("m-2", "west");
-  w.Box("m-3", "west");
-  w.Submit(w.Gang("job-1", 6));  // 12 cores; each machine has 8
+  GangTestEnvironment w;
+  w.StartLeader();
+  w.AddGangMachine("m-1", "east");
+  w.AddGangMachine("m-2", "west");
+  w.AddGangMachine("m-3", "west");
+  w.Submit(w.GangJob("job-1", 6));  // 12 cores; each machine has 8
   w.Run(3);
-  EXPECT_EQ(w.In("job-1", TaskState::kRunning), 6U);
-  EXPECT_FALSE(w.two_zones);
+  EXPECT_EQ(w.TasksInState("job-1", TaskState::kRunning), 6U);
+  EXPECT_FALSE(w.job_in_two_zones);
   EXPECT_EQ(w.Attempts("job-1").size(), 1U);
 }
 
 TEST(Gang, StartsNothingWhileOneZoneHasNotRoomForAllOfIt) {
-  GangWorld w;
-  w.Lead();
-  w.Box("m-1", "east");
-  w.Box("m-2", "west");
-  w.Submit(w.Gang("job-1", 6));
+  GangTestEnvironment w;
+  w.StartLeader();
+  w.AddGangMachine("m-1", "east");
+  w.AddGangMachine("m-2", "west");
+  w.Submit(w.GangJob("job-1", 6));
   w.Run(10);
-  EXPECT_EQ(w.Starts("job-1"), 0U);
+  EXPECT_EQ(w.StartCount("job-1"), 0U);
 }
 
 TEST(Gang, ARefusedTaskIsReplacedUnderTheSameAttempt) {
-  GangWorld w;
-  w.LeadWithGang(6);
-  FakeWorker& a = w.workers.at["m-1:1"];
-  FakeWorker& b = w.workers.at["m-2:1"];
+  GangTestEnvironment w;
+  w.StartLeaderWithGang(6);
+  FakeWorker& a = w.workers.by_endpoint["m-1:1"];
+  FakeWorker& b = w.workers.by_endpoint["m-2:1"];
   // The first command there arrives at a machine without room.
-  a.report.tasks.clear();
-  w.Pass(0.5);
-  ASSERT_EQ(w.In("job-1", TaskState::kWaitingForGang), 6U);
+  a.heartbeat.tasks.clear();
+  w.AdvanceTime(0.5);
+  ASSERT_EQ(w.TasksInState("job-1", TaskState::kWaitingForGang), 6U);
   const std::set<uint64_t> attempt = w.Attempts("job-1");
-  a.End(a.report.tasks.back().task_name, ExitReason::kNoRoom);
-  w.Box("m-3", "east");
+  a.EndTask(a.heartbeat.tasks.back().task_name, ExitReason::kNoRoom);
+  w.AddGangMachine("m-3", "east");
   w.Run(4);
-  EXPECT_EQ(w.In("job-1", TaskState::kRunning), 6U);
+  EXPECT_EQ(w.TasksInState("job-1", TaskState::kRunning), 6U);
   EXPECT_EQ(w.Attempts("job-1"), attempt);
-  EXPECT_EQ(w.Starts("job-1"), 7U);
-  EXPECT_FALSE(w.ran_twice);
-  EXPECT_GT(b.started.size(), 0U);
+  EXPECT_EQ(w.StartCount("job-1"), 7U);
+  EXPECT_FALSE(w.task_ran_twice);
+  EXPECT_GT(b.started_tasks.size(), 0U);
 }
 
 TEST(Gang, ATaskOnASilentMachineIsReplacedOnlyWhenItSurelyEnded) {
-  GangWorld w;
-  w.LeadWithGang(6);
-  FakeWorker& a = w.workers.at["m-1:1"];
-  w.Pass(0.5);
+  GangTestEnvironment w;
+  w.StartLeaderWithGang(6);
+  FakeWorker& a = w.workers.by_endpoint["m-1:1"];
+  w.AdvanceTime(0.5);
   const std::set<uint64_t> attempt = w.Attempts("job-1");
-  w.Box("m-3", "east");
-  w.cloud.out = true;
-  a.silent = true;
+  w.AddGangMachine("m-3", "east");
+  w.cloud.unavailable = true;
+  a.unresponsive = true;
   w.Run(5);
-  EXPECT_FALSE(w.ran_twice);
-  EXPECT_EQ(w.Starts("job-1"), 6U);
-  w.cloud.out = false;  // its return ends what is on it
+  EXPECT_FALSE(w.task_ran_twice);
+  EXPECT_EQ(w.StartCount("job-1"), 6U);
+  w.cloud.unavailable = false;  // its return ends what is on it
   w.Run(1);
-  a.report.tasks.clear();
+  a.heartbeat.tasks.clear();
   w.Run(6);
-  EXPECT_EQ(w.In("job-1", TaskState::kRunning), 6U);
+  EXPECT_EQ(w.TasksInState("job-1", TaskState::kRunning), 6U);
   EXPECT_EQ(w.Attempts("job-1"), attempt);
 }
 
 TEST(Gang, AnAttemptThatCanNotBeCompletedIsGivenUpAndNotWaitedOut) {
-  GangWorld w;
-  w.Lead();
-  auto& a = w.Box("m-1", "east");
-  w.Box("m-2", "east");
-  w.Submit(w.Gang("job-1", 8));  // takes all of both
-  w.Pass(0.5);
-  ASSERT_EQ(w.In("job-1", TaskState::kWaitingForGang), 8U);
-  w.cloud.out = false;
-  a.silent = true;
-  a.report.tasks.clear();
+  GangTestEnvironment w;
+  w.StartLeader();
+  auto& a = w.AddGangMachine("m-1", "east");
+  w.AddGangMachine("m-2", "east");
+  w.Submit(w.GangJob("job-1", 8));  // takes all of both
+  w.AdvanceTime(0.5);
+  ASSERT_EQ(w.TasksInState("job-1", TaskState::kWaitingForGang), 8U);
+  w.cloud.unavailable = false;
+  a.unresponsive = true;
+  a.heartbeat.tasks.clear();
   w.Run(12);
   // The places are free long before the gathering time is over.
-  EXPECT_EQ(w.In("job-1", TaskState::kWaitingForGang), 0U);
+  EXPECT_EQ(w.TasksInState("job-1", TaskState::kWaitingForGang), 0U);
   EXPECT_EQ(w.Attempts("job-1").size(), 0U);
 }
 
 TEST(Gang, ARunningOneThatLostATaskStartsAgainAsAWholeWhenAllOfItHasEnded) {
-  GangWorld w;
-  w.LeadWithGang(6);
-  FakeWorker& a = w.workers.at["m-1:1"];
+  GangTestEnvironment w;
+  w.StartLeaderWithGang(6);
+  FakeWorker& a = w.workers.by_endpoint["m-1:1"];
   w.Run(2);
-  ASSERT_EQ(w.In("job-1", TaskState::kRunning), 6U);
+  ASSERT_EQ(w.TasksInState("job-1", TaskState::kRunning), 6U);
   const std::set<uint64_t> first = w.Attempts("job-1");
-  w.Box("m-3", "east");
-  a.silent = true;
-  a.report.tasks.clear();
+  w.AddGangMachine("m-3", "east");
+  a.unresponsive = true;
+  a.heartbeat.tasks.clear();
   w.Run(4);
   // Sooner than the tasks themselves would notice.
   EXPECT_LT(4, w.settings.gang_loss_detection_s);
   w.Run(2);
-  EXPECT_EQ(w.In("job-1", TaskState::kRunning), 6U);
+  EXPECT_EQ(w.TasksInState("job-1", TaskState::kRunning), 6U);
   EXPECT_NE(w.Attempts("job-1"), first);
   EXPECT_EQ(w.Attempts("job-1").size(), 1U);
-  EXPECT_EQ(w.Starts("job-1"), 12U);  // nothing joined the attempt that had started
-  EXPECT_FALSE(w.ran_twice);
+  EXPECT_EQ(w.StartCount("job-1"), 12U);  // nothing joined the attempt that had started
+  EXPECT_FALSE(w.task_ran_twice);
 }
 
 TEST(Gang, StaysInTheZoneOfAnAttemptThatHasNotEnded) {
-  GangWorld w;
-  w.Lead();
-  auto& a = w.Box("m-1", "east");
-  w.Submit(w.Gang("job-1", 2));
+  GangTestEnvironment w;
+  w.StartLeader();
+  auto& a = w.AddGangMachine("m-1", "east");
+  w.Submit(w.GangJob("job-1", 2));
   w.Run(2);
-  ASSERT_EQ(w.In("job-1", TaskState::kRunning), 2U);
-  w.cloud.out = true;
-  w.Box("m-2", "west");
-  a.silent = true;  // hangs with both tasks, and its lease counts on
+  ASSERT_EQ(w.TasksInState("job-1", TaskState::kRunning), 2U);
+  w.cloud.unavailable = true;
+  w.AddGangMachine("m-2", "west");
+  a.unresponsive = true;  // hangs with both tasks, and its lease counts on
   w.Run(w.settings.lease_s - 2);
-  EXPECT_EQ(w.Starts("job-1"), 2U);
-  a.report.tasks.clear();
+  EXPECT_EQ(w.StartCount("job-1"), 2U);
+  a.heartbeat.tasks.clear();
   w.Run(10);
-  EXPECT_EQ(w.Starts("job-1"), 4U);
-  EXPECT_FALSE(w.two_zones);
+  EXPECT_EQ(w.StartCount("job-1"), 4U);
+  EXPECT_FALSE(w.job_in_two_zones);
 }
 
 TEST(Gang, OneDoneTaskIsTheEndOfAllOfThemAlsoForTheNextLeader) {
-  GangWorld w;
-  w.LeadWithGang(6);
-  FakeWorker& a = w.workers.at["m-1:1"];
-  FakeWorker& b = w.workers.at["m-2:1"];
+  GangTestEnvironment w;
+  w.StartLeaderWithGang(6);
+  FakeWorker& a = w.workers.by_endpoint["m-1:1"];
+  FakeWorker& b = w.workers.by_endpoint["m-2:1"];
   w.Run(2);
-  b.silent = true;
+  b.unresponsive = true;
   w.Complete("job-1", {"m-1"});
-  b.report.tasks.clear();  // lost with what it knew
+  b.heartbeat.tasks.clear();  // lost with what it knew
   w.Run(3);
-  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").state, JobState::kDone);
-  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").tasks_done, 6U);
+  EXPECT_EQ(w.SendRequest(JobOperation::kGet, "job-1").state, JobState::kDone);
+  EXPECT_EQ(w.SendRequest(JobOperation::kGet, "job-1").tasks_done, 6U);
   w.Run(10);
-  w.Lead();
+  w.StartLeader();
   w.Run(10);
-  EXPECT_EQ(w.Starts("job-1"), 6U);
-  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").state, JobState::kDone);
-  EXPECT_TRUE(a.report.tasks.empty());  // cleared
+  EXPECT_EQ(w.StartCount("job-1"), 6U);
+  EXPECT_EQ(w.SendRequest(JobOperation::kGet, "job-1").state, JobState::kDone);
+  EXPECT_TRUE(a.heartbeat.tasks.empty());  // cleared
 }
 
 // As the version before wrote it, which kept each task's end by itself.
 TEST(Gang, ADoneTaskInARowOfTheVersionBeforeEndsTheGang) {
-  GangWorld w;
+  GangTestEnvironment w;
   w.state.keys["deckhall/pages/000000"] = {
       R"([{"j":{"name_id":"job-1","clase":"sums","cuadrilla":"blue","forma":"ensemble",)"
       R"("rango":"normal","faenas":3,"cores":2.0,"memory_gb":4.0,"carga":"img","image_gb":1.0,)"
       R"("one_zone":true,"rumbo_s":30.0,"bitacora_s":20.0,"estiba_s":3.0},)"
       R"("t":500000990.0,"v":60.0,"d":"2"}])",
       90, 0};
-  w.Lead();
-  w.Box("m-1", "east");
+  w.StartLeader();
+  w.AddGangMachine("m-1", "east");
   w.Run(3);
-  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").state, JobState::kDone);
-  EXPECT_EQ(w.Starts("job-1"), 0U);
+  EXPECT_EQ(w.SendRequest(JobOperation::kGet, "job-1").state, JobState::kDone);
+  EXPECT_EQ(w.StartCount("job-1"), 0U);
 }
 
 TEST(Gang, PeersBlameNeitherMachineNorJob) {
-  GangWorld w;
-  w.Lead();
-  auto& a = w.Box("m-1", "east");
-  w.Submit(w.Gang("job-1", 3));
+  GangTestEnvironment w;
+  w.StartLeader();
+  auto& a = w.AddGangMachine("m-1", "east");
+  w.Submit(w.GangJob("job-1", 3));
   for (int round = 0; round < 4; ++round) {
     w.Run(2);
-    ASSERT_EQ(w.In("job-1", TaskState::kRunning), 3U) << round;
-    for (TaskStatus& task : a.report.tasks) {
-      if (task.state != TaskState::kExited) a.End(task.task_name, ExitReason::kGangMemberLost);
+    ASSERT_EQ(w.TasksInState("job-1", TaskState::kRunning), 3U) << round;
+    for (TaskStatus& task : a.heartbeat.tasks) {
+      if (task.state != TaskState::kExited) a.EndTask(task.task_name, ExitReason::kGangMemberLost);
     }
   }
-  EXPECT_TRUE(w.cloud.returned.empty());
+  EXPECT_TRUE(w.cloud.released.empty());
 }
 
 TEST(Gang, AMachineThatFailsItsTasksIsStillFound) {
-  GangWorld w;
-  w.Lead();
-  auto& a = w.Box("m-1", "east");
+  GangTestEnvironment w;
+  w.StartLeader();
+  auto& a = w.AddGangMachine("m-1", "east");
   for (const char* id : {"job-1", "job-2"}) {
-    w.Submit(w.Gang(id, 2));
+    w.Submit(w.GangJob(id, 2));
     w.Run(2);
     const std::string task = std::string(id) + "/0";
-    ASSERT_TRUE(a.Has(task));
-    a.End(task, ExitReason::kError);
-    w.Pass(0.5);
+    ASSERT_TRUE(a.HasTask(task));
+    a.EndTask(task, ExitReason::kError);
+    w.AdvanceTime(0.5);
   }
-  const size_t before = a.started.size();
+  const size_t before = a.started_tasks.size();
   w.Run(10);
-  EXPECT_EQ(a.started.size(), before);  // quarantined
+  EXPECT_EQ(a.started_tasks.size(), before);  // quarantined
 }
 
 TEST(Gang, ASpotNoticeStopsAllOfItInTimeToSave) {
-  GangWorld w;
-  w.Lead();
-  auto& a = w.Box("m-1", "east", true);
-  w.Box("m-2", "east", true);
-  JobSpec gang = w.Gang("job-1", 6);
+  GangTestEnvironment w;
+  w.StartLeader();
+  auto& a = w.AddGangMachine("m-1", "east", true);
+  w.AddGangMachine("m-2", "east", true);
+  JobSpec gang = w.GangJob("job-1", 6);
   gang.spot_tolerant = true;
   gang.estimated_runtime_s = 100;
   w.Submit(gang);
   w.Run(2);
-  ASSERT_EQ(w.In("job-1", TaskState::kRunning), 6U);
-  a.report.preemption_notice_s = 12;
+  ASSERT_EQ(w.TasksInState("job-1", TaskState::kRunning), 6U);
+  a.heartbeat.preemption_notice_s = 12;
   w.Run(1.5);
-  EXPECT_EQ(w.In("job-1", TaskState::kCheckpointing), 6U);
+  EXPECT_EQ(w.TasksInState("job-1", TaskState::kCheckpointing), 6U);
   w.Run(4);
-  EXPECT_EQ(w.In("job-1", TaskState::kRunning), 0U);
+  EXPECT_EQ(w.TasksInState("job-1", TaskState::kRunning), 0U);
   EXPECT_EQ(w.Attempts("job-1").size(), 0U);
 }
 
 TEST(Gang, ANoticeThatLeavesNoTimeToSaveEndsItAtOnce) {
-  GangWorld w;
-  w.Lead();
-  auto& a = w.Box("m-1", "east", true);
-  w.Box("m-2", "east", true);
-  JobSpec gang = w.Gang("job-1", 6);
+  GangTestEnvironment w;
+  w.StartLeader();
+  auto& a = w.AddGangMachine("m-1", "east", true);
+  w.AddGangMachine("m-2", "east", true);
+  JobSpec gang = w.GangJob("job-1", 6);
   gang.spot_tolerant = true;
   gang.estimated_runtime_s = 100;
   w.Submit(gang);
   w.Run(2);
-  a.report.preemption_notice_s = 4;
+  a.heartbeat.preemption_notice_s = 4;
   w.Run(1.5);
-  EXPECT_EQ(w.In("job-1", TaskState::kCheckpointing), 0U);
+  EXPECT_EQ(w.TasksInState("job-1", TaskState::kCheckpointing), 0U);
   EXPECT_EQ(w.Attempts("job-1").size(), 0U);
 }
 
 TEST(Gang, ANewLeaderFinishesAStopThatReachedSomeOfItsTasks) {
-  GangWorld w;
-  w.LeadWithGang(6);
-  FakeWorker& a = w.workers.at["m-1:1"];
+  GangTestEnvironment w;
+  w.StartLeaderWithGang(6);
+  FakeWorker& a = w.workers.by_endpoint["m-1:1"];
   w.Run(2);
   const std::set<uint64_t> first = w.Attempts("job-1");
-  for (TaskStatus& task : a.report.tasks) task.state = TaskState::kCheckpointing;
-  w.Lead();
+  for (TaskStatus& task : a.heartbeat.tasks) task.state = TaskState::kCheckpointing;
+  w.StartLeader();
   w.Run(2);
-  EXPECT_EQ(w.In("job-1", TaskState::kCheckpointing), 6U);
+  EXPECT_EQ(w.TasksInState("job-1", TaskState::kCheckpointing), 6U);
   w.Run(4);
-  EXPECT_EQ(w.In("job-1", TaskState::kRunning), 6U);
+  EXPECT_EQ(w.TasksInState("job-1", TaskState::kRunning), 6U);
   EXPECT_NE(w.Attempts("job-1"), first);
 }
 
 TEST(Gang, RunsOnUnderANewLeader) {
-  GangWorld w;
-  w.LeadWithGang(6);
+  GangTestEnvironment w;
+  w.StartLeaderWithGang(6);
   w.Run(2);
   const std::set<uint64_t> first = w.Attempts("job-1");
-  w.Lead();
+  w.StartLeader();
   w.Run(10);
-  EXPECT_EQ(w.In("job-1", TaskState::kRunning), 6U);
+  EXPECT_EQ(w.TasksInState("job-1", TaskState::kRunning), 6U);
   EXPECT_EQ(w.Attempts("job-1"), first);
 }
 
 TEST(Gang, ANewLeaderCompletesOneThatGathers) {
-  GangWorld w;
-  w.LeadWithGang(6);
-  FakeWorker& a = w.workers.at["m-1:1"];
-  w.Pass(0.5);
+  GangTestEnvironment w;
+  w.StartLeaderWithGang(6);
+  FakeWorker& a = w.workers.by_endpoint["m-1:1"];
+  w.AdvanceTime(0.5);
   const std::set<uint64_t> first = w.Attempts("job-1");
-  const std::string lost = a.report.tasks.back().task_name;
-  a.End(lost, ExitReason::kNoRoom);
-  w.Box("m-3", "east");
-  w.Lead();
+  const std::string lost = a.heartbeat.tasks.back().task_name;
+  a.EndTask(lost, ExitReason::kNoRoom);
+  w.AddGangMachine("m-3", "east");
+  w.StartLeader();
   w.Run(6);
-  EXPECT_EQ(w.In("job-1", TaskState::kRunning), 6U);
+  EXPECT_EQ(w.TasksInState("job-1", TaskState::kRunning), 6U);
   EXPECT_EQ(w.Attempts("job-1"), first);
 }
 
 TEST(Gang, ANewLeaderEndsWhatIsLeftOfAnEarlierAttempt) {
-  GangWorld w;
-  w.Lead();
-  auto& a = w.Box("m-1", "east");
-  w.Submit(w.Gang("job-1", 2));
-  w.Pass(0.5);
-  ASSERT_EQ(w.In("job-1", TaskState::kWaitingForGang), 2U);
-  --a.report.tasks.back().attempt;  // it never comes together with the other one
-  w.Lead();
+  GangTestEnvironment w;
+  w.StartLeader();
+  auto& a = w.AddGangMachine("m-1", "east");
+  w.Submit(w.GangJob("job-1", 2));
+  w.AdvanceTime(0.5);
+  ASSERT_EQ(w.TasksInState("job-1", TaskState::kWaitingForGang), 2U);
+  --a.heartbeat.tasks.back().attempt;  // it never comes together with the other one
+  w.StartLeader();
   w.Run(6);
   EXPECT_LT(6, w.settings.gang_wait_s);
-  EXPECT_EQ(w.In("job-1", TaskState::kRunning), 2U);
+  EXPECT_EQ(w.TasksInState("job-1", TaskState::kRunning), 2U);
   EXPECT_EQ(w.Attempts("job-1").size(), 1U);
 }
 
 TEST(Gang, AnUrgentOneStopsIdleWorkOnlyWhenAllOfItFitsThen) {
   for (const uint32_t tasks : {6U, 9U}) {
-    GangWorld w;
+    GangTestEnvironment w;
     w.settings.teams[0].cores_max = 0;
     w.tuning.preempt_after_s = 1;
-    w.Lead();
-    w.Box("m-1", "east");
-    w.Box("m-2", "east");
+    w.StartLeader();
+    w.AddGangMachine("m-1", "east");
+    w.AddGangMachine("m-2", "east");
     JobSpec idle = w.Array("job-1", 8);
     idle.priority = Priority::kIdle;
     idle.estimated_runtime_s = 300;
     w.Submit(idle);
     w.Run(2);
-    ASSERT_EQ(w.In("job-1", TaskState::kRunning), 8U);
-    JobSpec gang = w.Gang("job-2", tasks);
+    ASSERT_EQ(w.TasksInState("job-1", TaskState::kRunning), 8U);
+    JobSpec gang = w.GangJob("job-2", tasks);
     gang.priority = Priority::kUrgent;
     w.Submit(gang);
     w.Run(6);
     const bool fits = tasks == 6;
-    EXPECT_EQ(w.In("job-2", TaskState::kRunning), fits ? 6U : 0U);
-    EXPECT_EQ(w.In("job-1", TaskState::kRunning), fits ? 2U : 8U);
+    EXPECT_EQ(w.TasksInState("job-2", TaskState::kRunning), fits ? 6U : 0U);
+    EXPECT_EQ(w.TasksInState("job-1", TaskState::kRunning), fits ? 2U : 8U);
   }
 }
 
@@ -338,11 +338,11 @@
 // that held them ran idle work.
 TEST(Gang, AnUrgentOneGoesWhereItsImageIsRatherThanFetchItForLong) {
   for (const bool lower : {true, false}) {
-    GangWorld w;
+    GangTestEnvironment w;
     w.settings.teams[0].cores_max = 0;
-    w.Lead();
-    auto& a = w.Box("m-1", "east");
-    w.Submit(w.Gang("job-1", 4));
+    w.StartLeader();
+    auto& a = w.AddGangMachine("m-1", "east");
+    w.Submit(w.GangJob("job-1", 4));
     w.Run(2);
     w.Complete("job-1");
     w.Run(2);
@@ -351,69 +351,72 @@
     idle.estimated_runtime_s = 300;
     w.Submit(idle);
     w.Run(1);
-    ASSERT_EQ(a.Count("job-2"), 4U);
-    auto& b = w.Box("m-2", "east");
-    JobSpec gang = w.Gang("job-3", 4);
+    ASSERT_EQ(a.ActiveTasks("job-2"), 4U);
+    auto& b = w.AddGangMachine("m-2", "east");
+    JobSpec gang = w.GangJob("job-3", 4);
     gang.priority = Priority::kUrgent;
     gang.image_gb = 20;  // a fetch of 20 s
     w.Submit(gang);
     w.Run(4);
-    EXPECT_EQ(a.Count("job-3"), lower ? 4U : 0U);
-    EXPECT_EQ(b.Count("job-3"), lower ? 0U : 4U);
+    EXPECT_EQ(a.ActiveTasks("job-3"), lower ? 4U : 0U);
+    EXPECT_EQ(b.ActiveTasks("job-3"), lower ? 0U : 4U);
   }
 }
 
 TEST(Gang, SmallTasksDoNotTakeAllFreedPieces) {
-  GangWorld w;
+  GangTestEnvironment w;
   w.settings.teams[0].cores_max = 0;
-  w.Lead();
-  auto& a = w.Box("m-1", "east");
+  w.StartLeader();
+  auto& a = w.AddGangMachine("m-1", "east");
   w.Submit(w.Array("job-1", 200, 2));
   w.Run(1);
-  w.Submit(w.Gang("job-2", 4));
+  w.Submit(w.GangJob("job-2", 4));
   // A task of the array ends every second; the gang is ranked before what is left of it.
-  for (int i = 0; i < 30 && w.In("job-2", TaskState::kRunning) == 0; ++i) {
-    for (TaskStatus& task : a.report.tasks) {
+  for (int i = 0; i < 30 && w.TasksInState("job-2", TaskState::kRunning) == 0; ++i) {
+    for (TaskStatus& task : a.heartbeat.tasks) {
       if (task.state != TaskState::kRunning) continue;
-      a.End(task.task_name, ExitReason::kDone);
+      a.EndTask(task.task_name, ExitReason::kDone);
       break;
     }
     w.Run(1);
   }
-  EXPECT_EQ(w.In("job-2", TaskState::kRunning), 4U);
+  EXPECT_EQ(w.TasksInState("job-2", TaskState::kRunning), 4U);
 }
 
 TEST(Gang, TwoOfThemDoNotBlockEachOtherHalfPlaced) {
-  GangWorld w;
+  GangTestEnvironment w;
   w.settings.teams[0].cores_max = 0;
-  w.LeadWithGang(6);
-  w.Submit(w.Gang("job-2", 6));
+  w.StartLeaderWithGang(6);
+  w.Submit(w.GangJob("job-2", 6));
   w.Run(5);
-  EXPECT_EQ(w.In("job-1", TaskState::kRunning) + w.In("job-2", TaskState::kRunning), 6U);
-  EXPECT_EQ(w.In("job-1", TaskState::kWaitingForGang) + w.In("job-2", TaskState::kWaitingForGang),
+  EXPECT_EQ(
+      w.TasksInState("job-1", TaskState::kRunning) + w.TasksInState("job-2", TaskState::kRunning),
+      6U);
+  EXPECT_EQ(w.TasksInState("job-1", TaskState::kWaitingForGang) +
+                w.TasksInState("job-2", TaskState::kWaitingForGang),
             0U);
   w.Complete("job-1");
   w.Complete("job-2");
   w.Run(5);
-  EXPECT_EQ(w.Starts("job-1") + w.Starts("job-2"), 12U);
+  EXPECT_EQ(w.StartCount("job-1") + w.StartCount("job-2"), 12U);
 }
 
 TEST(Gang, OfTwoThousandTasksStartsAndEndsWithWorkThatGrowsWithItAlone) {
   size_t steps[2] = {0, 0};
   for (const uint32_t machines : {125U, 500U}) {
-    GangWorld w;
+    GangTestEnvironment w;
     w.settings.teams[0].cores_max = 0;
     w.settings.quota_memory_mb = 500;
-    w.Lead();
-    for (uint32_t i = 0; i < machines; ++i) w.Box("m-" + std::to_string(i), "east");
+    w.StartLeader();
+    for (uint32_t i = 0; i < machines; ++i) w.AddGangMachine("m-" + std::to_string(i), "east");
     const uint64_t before = w.leader->work_units();
     const uint32_t tasks = machines * 4;
-    ASSERT_EQ(w.Submit(w.Gang("job-1", tasks)).status, 201);
+    ASSERT_EQ(w.Submit(w.GangJob("job-1", tasks)).status, 201);
     w.Run(3);
-    ASSERT_EQ(w.In("job-1", TaskState::kRunning), tasks);
+    ASSERT_EQ(w.TasksInState("job-1", TaskState::kRunning), tasks);
     w.Complete("job-1");
     w.Run(3);
-    EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").state, JobState::kDone);
+    EXPECT_EQ(w.SendRequest(JobOperation::kGet, "job-1").state, JobState::kDone);
     steps[machines == 500 ? 1 : 0] = w.leader->work_units() - before;
   }
   // Four times the machines and tasks, four times the work.
@@ -422,17 +425,17 @@
 
 TEST(Gang, CancelledWhileItGathersOrRunsIsGone) {
   for (const double after : {0.0, 3.0}) {
-    GangWorld w;
-    w.Lead();
-    w.Box("m-1", "east");
-    w.Box("m-2", "east");
-    w.Submit(w.Gang("job-1", 6));
-    w.Pass(0.5);
+    GangTestEnvironment w;
+    w.StartLeader();
+    w.AddGangMachine("m-1", "east");
+    w.AddGangMachine("m-2", "east");
+    w.Submit(w.GangJob("job-1", 6));
+    w.AdvanceTime(0.5);
     w.Run(after);
-    ASSERT_EQ(w.Ask(JobOperation::kCancel, "job-1").state, JobState::kCancelled);
+    ASSERT_EQ(w.SendRequest(JobOperation::kCancel, "job-1").state, JobState::kCancelled);
     w.Run(2);
     EXPECT_EQ(w.Attempts("job-1").size(), 0U);
-    EXPECT_EQ(w.Starts("job-1"), 6U);
+    EXPECT_EQ(w.StartCount("job-1"), 6U);
   }
 }
 
--- a/tests/gang_world.h
+++ b/tests/gang_world.h
@@ -1,5 +1,6 @@
-// Workers with gangs as the operators' page describes them: tasks of one attempt gather,
-// start together, notice a lost one, save together and complete together.
+// A leader with workers that run gangs as described in the operators' documentation: the tasks of
+// an attempt wait for each other, start together, detect a lost member, write checkpoints together
+// and complete together.
 #pragma once
 
 #include <map>
@@ -10,47 +11,48 @@
 
 namespace deckhall {
 
-class GangWorld : public World {
+class GangTestEnvironment : public LeaderTestEnvironment {
  public:
-  GangWorld() {
-    cloud.refuse = true;
+  GangTestEnvironment() {
+    cloud.out_of_capacity = true;
     settings.teams = {{"blue", 0, 40, 0, 0}, {"red", 0, 0, 0, 0}};
     settings.gang_wait_s = 20;
     settings.gang_loss_detection_s = 8;
   }
-  JobSpec Gang(const std::string& id, uint32_t tasks, double cores = 2);
-  FakeWorker& Box(const std::string& name, const std::string& zone, bool spot = false);
-  // A leader, two machines of eight cores in one zone and a gang, job-1, for them.
-  void LeadWithGang(uint32_t tasks);
-  // Time passes for workers, users and the leader; worlds of gangs have no other clock.
+  JobSpec GangJob(const std::string& id, uint32_t tasks, double cores = 2);
+  FakeWorker& AddGangMachine(const std::string& name, const std::string& zone, bool spot = false);
+  // Starts a leader with two machines of 8 cores in one zone, and submits the gang job-1.
+  void StartLeaderWithGang(uint32_t tasks);
+  // Advances the time of the workers and the leader. Tests with gangs use this instead of
+  // AdvanceTime(), which does not update the gangs.
   void Run(double seconds);
-  // Tasks of the job that are on machines in that state, as the workers know it.
-  size_t In(const std::string& job, TaskState wanted) const;
-  // Attempt numbers of its tasks that are on machines.
+  // Counts the tasks of the job on the workers that are in this state.
+  size_t TasksInState(const std::string& job, TaskState wanted_state) const;
+  // Attempt numbers of the job's tasks that have not exited.
   std::set<uint64_t> Attempts(const std::string& job) const;
-  // Launches of the job so far.
-  size_t Starts(const std::string& job) const;
-  // Ends the running gang as done, on the machines that are given.
+  // Counts the task starts of the job so far.
+  size_t StartCount(const std::string& job) const;
+  // Ends the running tasks of the gang as done, on the given machines or on all if `only` is empty.
   void Complete(const std::string& job, const std::set<std::string>& only = {});
-  // No task was ever on two machines.
-  bool ran_twice = false;
-  // Two tasks of a job were in different zones.
-  bool two_zones = false;
+  // A task was on two machines at the same time.
+  bool task_ran_twice = false;
+  // Tasks of one job were in different zones.
+  bool job_in_two_zones = false;
 
  private:
   struct Attempt {
     bool started = false;
     double lost_at = -1;
-    double first_stop = -1;
+    double first_stop_at = -1;
   };
   void Step();
   void StepAttempt(const std::string& job, uint64_t number);
-  void Exit(TaskStatus* task, ExitReason why, bool saved = false);
-  void Check();
+  void EndTask(TaskStatus* task, ExitReason reason, bool checkpointed = false);
+  void CheckPlacement();
 
   std::map<std::string, JobSpec> specs_;
   std::map<std::pair<std::string, uint64_t>, Attempt> attempts_;
-  std::map<std::pair<std::string, uint64_t>, double> since_;  // by task and attempt
+  std::map<std::pair<std::string, uint64_t>, double> present_since_;  // by task and attempt
 };
 
 }  // namespace deckhall
--- a/tests/golden_rows_test.cc
+++ b/tests/golden_rows_test.cc
@@ -83,16 +83,17 @@
 }
 
 // A leader of this version over the recorded pages, to which no machine answers.
-struct Successor : World {
+struct Successor : LeaderTestEnvironment {
   Successor() {
     for (const auto& [key, rows] : Recorded()) {
       if (key.starts_with(RecordStore::kPrefix))
         state.keys[key] = {PageOf(rows), state.revision, 0};
     }
-    for (const char* endpoint : {"m-1:1", "m-2:1", "m-3:1"}) workers.at[endpoint].silent = true;
-    cloud.out = true;
+    for (const char* endpoint : {"m-1:1", "m-2:1", "m-3:1"})
+      workers.by_endpoint[endpoint].unresponsive = true;
+    cloud.unavailable = true;
     clock.now = kAfterRecording;
-    Lead();
+    StartLeader();
   }
   const Job& Known(const std::string& id) {
     const JobIndex index = leader->job_store().Find(id);
@@ -228,7 +229,7 @@
   for (const char* id : {"job-3", "job-12", "job-13", "job-14", "job-15", "job-17"}) {
     EXPECT_TRUE(FinishedTasks(w.Known(id)).empty()) << id;
   }
-  const JobResponse response = w.Ask(JobOperation::kGet, "job-11");
+  const JobResponse response = w.SendRequest(JobOperation::kGet, "job-11");
   EXPECT_EQ(response.status, 200);
   EXPECT_EQ(response.state, JobState::kPending);
   EXPECT_EQ(response.tasks_done, 6U);
@@ -253,10 +254,10 @@
   EXPECT_EQ(w.Known("job-17").lifecycle, JobLifecycle::kCancelled);
   ExpectSameJob(w.Known("job-16").spec, ArraySpec("job-16", 2, 0.5));
   ExpectSameJob(w.Known("job-17").spec, ServiceSpec("job-17", 2, 0.5));
-  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").state, JobState::kDone);
-  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-2").state, JobState::kCancelled);
-  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-16").state, JobState::kDone);
-  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-17").state, JobState::kCancelled);
+  EXPECT_EQ(w.SendRequest(JobOperation::kGet, "job-1").state, JobState::kDone);
+  EXPECT_EQ(w.SendRequest(JobOperation::kGet, "job-2").state, JobState::kCancelled);
+  EXPECT_EQ(w.SendRequest(JobOperation::kGet, "job-16").state, JobState::kDone);
+  EXPECT_EQ(w.SendRequest(JobOperation::kGet, "job-17").state, JobState::kCancelled);
 }
 
 struct ExpectedMachine {
@@ -299,7 +300,8 @@
 TEST(GoldenRows, ASuccessorAsksAgainForARentalThatWasNotAnswered) {
   Successor w;
   const std::pair<std::string, int> rental("r-102-10", 2);
-  EXPECT_EQ(std::count(w.cloud.rented.begin(), w.cloud.rented.end(), rental), 1);
+  EXPECT_EQ(
+      std::count(w.cloud.scale_out_requests.begin(), w.cloud.scale_out_requests.end(), rental), 1);
 }
 
 // Everything that writes rows, over an empty store. Rows are handed to it as if they were loaded;
@@ -569,7 +571,7 @@
 TEST(GoldenRows, TheDisruptionPolicyIsWrittenAsEver) {
   EXPECT_EQ(EncodePolicy(*PolicyOf(kPolicyText)), kStoredPolicy);
   EXPECT_EQ(EncodePolicy(DisruptionPolicy()), R"({"revision":0,"text":""})");
-  World w;
+  LeaderTestEnvironment w;
   PolicyReplicator replicator(&w.state, &w.clock, &w.settings);
   replicator.SetLocalPolicy(PolicyOf(kPolicyText));
   replicator.Tick();
@@ -578,7 +580,7 @@
 }
 
 TEST(GoldenRows, AStoredDisruptionPolicyOfAHigherRevisionIsTakenOver) {
-  World w;
+  LeaderTestEnvironment w;
   w.state.keys["deckhall/disruption"] = {kStoredPolicy, w.state.revision, 0};
   PolicyReplicator replicator(&w.state, &w.clock, &w.settings);
   replicator.SetLocalPolicy(PolicyOf(R"((disruption (revision "1")))"));
--- a/tests/golden_support.h
+++ b/tests/golden_support.h
@@ -1,4 +1,4 @@
-// What the golden tests share: comparison of what was read with what is expected, field by field.
+// Helpers of the golden tests that compare decoded jobs with the expected ones field by field.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -40,7 +40,6 @@
   EXPECT_EQ(read.deadline_s, expected.deadline_s);
 }
 
-// All fields of a job.
 inline void ExpectSameJob(const JobSpec& read, const JobSpec& expected) {
   ExpectSameIdentity(read, expected);
   ExpectSameRequest(read, expected);
--- a/tests/loopback_controllers.cc
+++ b/tests/loopback_controllers.cc
@@ -22,7 +22,7 @@
 pid_t Spawn(const std::vector<std::string>& arguments, const std::string& output) {
   std::vector<char*> argv;
   argv.reserve(arguments.size() + 1);
-  for (const std::string& a : arguments) argv.push_back(const_cast<char*>(a.c_str()));
+  for (const std::string& argument : arguments) argv.push_back(const_cast<char*>(argument.c_str()));
   argv.push_back(nullptr);
   posix_spawn_file_actions_t actions;
   posix_spawn_file_actions_init(&actions);
@@ -35,9 +35,9 @@
   return pid;
 }
 
-std::string Quoted(const std::string& text) { return "\"" + text + "\""; }
+std::string Quote(const std::string& text) { return "\"" + text + "\""; }
 
-std::string Joined(const std::vector<std::string>& parts) {
+std::string Join(const std::vector<std::string>& parts) {
   std::string out;
   for (const std::string& part : parts) out += (out.empty() ? "" : ",") + part;
   return out;
@@ -51,7 +51,7 @@
   return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
 }
 
-std::string ReadWhole(const std::string& path) {
+std::string ReadFile(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   std::ostringstream text;
   text << in.rdbuf();
@@ -62,31 +62,32 @@
                                          const LoopbackSettings& settings) {
   std::string pattern = (std::filesystem::temp_directory_path() / "deckhall-XXXXXX").string();
   folder_ = mkdtemp(pattern.data());
-  std::vector<Endpoint> mesh;
+  std::vector<Endpoint> peer_endpoints;
   for (size_t i = 0; i < count; ++i) {
     nodes_.push_back({"n" + std::to_string(i), -1});
-    served_.push_back(FreeEndpoint("127.0.0.1"));
-    mesh.push_back(FreeEndpoint("127.0.0.1"));
+    endpoints_.push_back(FreeEndpoint("127.0.0.1"));
+    peer_endpoints.push_back(FreeEndpoint("127.0.0.1"));
   }
   std::vector<std::string> zones;
-  for (const std::string& zone : settings.zones) zones.push_back(Quoted(zone));
+  for (const std::string& zone : settings.zones) zones.push_back(Quote(zone));
   std::vector<std::string> teams;
-  for (const std::string& team : settings.teams) teams.push_back("{\"name\":" + Quoted(team) + "}");
+  for (const std::string& team : settings.teams) teams.push_back("{\"name\":" + Quote(team) + "}");
   for (size_t i = 0; i < count; ++i) {
     std::vector<std::string> siblings;
     for (size_t j = 0; j < count; ++j) {
       if (j == i) continue;
-      siblings.push_back("{\"label\":" + Quoted(nodes_[j].label) + ",\"site\":" +
-                         zones[j % zones.size()] + ",\"endpoint\":" + Quoted(mesh[j].Text()) + "}");
+      siblings.push_back("{\"label\":" + Quote(nodes_[j].label) +
+                         ",\"site\":" + zones[j % zones.size()] +
+                         ",\"endpoint\":" + Quote(peer_endpoints[j].Text()) + "}");
     }
     std::ofstream(ConfigOf(i))
-        << "{\"label\":" << Quoted(nodes_[i].label) << ",\"site\":" << zones[i % zones.size()]
-        << ",\"serve_on\":" << Quoted(served_[i].Text())
-        << ",\"mesh_addr\":" << Quoted(mesh[i].Text()) << ",\"siblings\":[" << Joined(siblings)
-        << "],\"external\":{\"cloud\":" << Quoted(cloud.Text())
-        << ",\"state\":" << Quoted(state.Text()) << "},\"cluster\":{\"size\":" << count
-        << ",\"zones\":[" << Joined(zones) << "],\"teams\":[" << Joined(teams)
-        << "],\"workers\":{\"report_s\":" << settings.report_s
+        << "{\"label\":" << Quote(nodes_[i].label) << ",\"site\":" << zones[i % zones.size()]
+        << ",\"serve_on\":" << Quote(endpoints_[i].Text())
+        << ",\"mesh_addr\":" << Quote(peer_endpoints[i].Text()) << ",\"siblings\":["
+        << Join(siblings) << "],\"external\":{\"cloud\":" << Quote(cloud.Text())
+        << ",\"state\":" << Quote(state.Text()) << "},\"cluster\":{\"size\":" << count
+        << ",\"zones\":[" << Join(zones) << "],\"teams\":[" << Join(teams)
+        << "],\"workers\":{\"report_s\":" << settings.heartbeat_interval_s
         << ",\"lease_s\":" << settings.lease_s << ",\"cancel_s\":" << settings.cancel_s
         << "},\"state\":{\"rps\":500,\"write_rps\":200,\"value_kb\":8,\"txn_ops\":16},"
         << "\"cloud\":{\"rps\":20,\"list_lag_s\":1},"
@@ -96,7 +97,7 @@
 
 LoopbackControllers::~LoopbackControllers() {
   for (size_t i = 0; i < nodes_.size(); ++i) {
-    if (Running(i)) Kill(i);
+    if (IsRunning(i)) Kill(i);
   }
   std::error_code ignored;
   std::filesystem::remove_all(folder_, ignored);
@@ -118,7 +119,7 @@
 }
 
 void LoopbackControllers::WritePolicy(size_t node, const std::string& text) {
-  // Renamed into its place, so that no half of it is read.
+  // The rename is atomic, so the controller never reads a partial file.
   const std::string path = folder_ + "/" + nodes_[node].label + ".sexp";
   std::ofstream(path + ".new") << text;
   std::filesystem::rename(path + ".new", path);
@@ -126,7 +127,7 @@
 
 void LoopbackControllers::Start(size_t node) {
   const std::string policy = folder_ + "/" + nodes_[node].label + ".sexp";
-  // Another version may run as the last controller, to see both side by side.
+  // The last controller can run another version, for tests of mixed versions.
   const char* other = std::getenv("DECKHALL_LOOPBACK_OTHER");
   const bool is_other = other != nullptr && node + 1 == nodes_.size();
   std::vector<std::string> arguments = {is_other ? other : DECKHALL_BINARY, "serve"};
@@ -146,15 +147,15 @@
 
 void LoopbackControllers::Freeze(size_t node) { kill(nodes_[node].pid, SIGSTOP); }
 
-void LoopbackControllers::Thaw(size_t node) { kill(nodes_[node].pid, SIGCONT); }
+void LoopbackControllers::Resume(size_t node) { kill(nodes_[node].pid, SIGCONT); }
 
-int LoopbackControllers::EndedByThemselves() {
+int LoopbackControllers::UnexpectedExits() {
   for (Node& node : nodes_) {
     if (node.pid <= 0 || ExitStatus(node.pid) < 0) continue;
     node.pid = -1;
-    ++ended_;
+    ++unexpected_exits_;
   }
-  return ended_;
+  return unexpected_exits_;
 }
 
 std::string LoopbackControllers::RunCommand(const std::vector<std::string>& arguments, pid_t* pid) {
--- a/tests/loopback_controllers.h
+++ b/tests/loopback_controllers.h
@@ -1,5 +1,5 @@
-// Real controller processes on the loopback interface, which can be killed, frozen and started
-// again; and the commands of the program, run beside them.
+// Controller processes on the loopback interface, which can be killed, suspended and restarted, and
+// runs of the program's other commands.
 #pragma once
 
 #include <sys/types.h>
@@ -14,7 +14,7 @@
 struct LoopbackSettings {
   std::vector<std::string> zones;
   std::vector<std::string> teams;
-  double report_s = 1;
+  double heartbeat_interval_s = 1;
   double lease_s = 8;
   double cancel_s = 16;
 };
@@ -28,19 +28,19 @@
   LoopbackControllers& operator=(const LoopbackControllers&) = delete;
 
   size_t size() const { return nodes_.size(); }
-  const std::vector<Endpoint>& served() const { return served_; }
-  // Of the controller with this label; SIZE_MAX: there is none.
+  const std::vector<Endpoint>& endpoints() const { return endpoints_; }
+  // Index of the controller with this label; SIZE_MAX if there is none.
   size_t IndexOf(const std::string& label) const;
   void Start(size_t node);
   void Kill(size_t node);
   void Freeze(size_t node);
-  void Thaw(size_t node);
-  bool Running(size_t node) const { return nodes_[node].pid > 0; }
-  // Processes that ended by themselves.
-  int EndedByThemselves();
-  // Writes the disruption file of a controller; from the next start on it is used.
+  void Resume(size_t node);
+  bool IsRunning(size_t node) const { return nodes_[node].pid > 0; }
+  // Counts the processes that exited without Kill().
+  int UnexpectedExits();
+  // Writes the disruption file of a controller, which gets its path at the next start.
   void WritePolicy(size_t node, const std::string& text);
-  // Starts the program with these arguments; its output goes to the file that is returned.
+  // Starts the program with these arguments and returns the path of its output file.
   std::string RunCommand(const std::vector<std::string>& arguments, pid_t* pid);
   std::string ConfigOf(size_t node) const;
   std::string LogOf(size_t node) const;
@@ -53,13 +53,13 @@
 
   std::string folder_;
   std::vector<Node> nodes_;
-  std::vector<Endpoint> served_;
-  int ended_ = 0;
+  std::vector<Endpoint> endpoints_;
+  int unexpected_exits_ = 0;
   int commands_ = 0;
 };
 
-// Waits for the process and returns its exit status; -1 while it runs.
+// Returns the exit status of the process without blocking; -1 if it is still running.
 int ExitStatus(pid_t pid);
-std::string ReadWhole(const std::string& path);
+std::string ReadFile(const std::string& path);
 
 }  // namespace deckhall
--- a/tests/loopback_fleet.cc
+++ b/tests/loopback_fleet.cc
@@ -10,14 +10,14 @@
 namespace {
 
 constexpr double kTickSeconds = 0.05;
-constexpr double kLeastBetweenReports = 0.5;
-constexpr double kReportTimeout = 4;
+constexpr double kMinHeartbeatIntervalSeconds = 0.5;
+constexpr double kHeartbeatTimeoutSeconds = 4;
 
-HttpAnswer Answer(int status, std::string body) {
-  HttpAnswer answer;
-  answer.status = status;
-  answer.body = std::move(body);
-  return answer;
+HttpAnswer MakeResponse(int status, std::string body) {
+  HttpAnswer response;
+  response.status = status;
+  response.body = std::move(body);
+  return response;
 }
 
 std::string JobOf(const std::string& task) { return task.substr(0, task.rfind('/')); }
@@ -25,30 +25,30 @@
 }  // namespace
 
 struct LoopbackFleet::Worker {
-  Heartbeat report;
+  Heartbeat heartbeat;
   std::string state = "starting";
-  double rented_at = 0;
-  double boots_at = 0;
+  double provisioned_at = 0;
+  double boot_done_at = 0;
   std::unique_ptr<HttpServer> server;
   std::unique_ptr<HttpClient> client;
-  double lease_from = 0;
-  double next_report = 0;
-  double reported_at = -1;
-  bool waiting = false;
+  double lease_start = 0;
+  double next_heartbeat_at = 0;
+  double last_heartbeat_at = -1;
+  bool awaiting_response = false;
   bool changed = false;
   size_t controller = 0;
-  std::map<std::string, double> runs_at;  // by task
+  std::map<std::string, double> task_runs_at;  // by task name
 
-  double Used(const std::map<std::string, JobSpec>& jobs) const {
+  double UsedCores(const std::map<std::string, JobSpec>& jobs) const {
     double cores = 0;
-    for (const TaskStatus& t : report.tasks) {
-      if (t.state != TaskState::kExited) cores += jobs.at(JobOf(t.task_name)).cores;
+    for (const TaskStatus& status : heartbeat.tasks) {
+      if (status.state != TaskState::kExited) cores += jobs.at(JobOf(status.task_name)).cores;
     }
     return cores;
   }
-  std::string Reported() {
-    ++report.sequence;
-    return EncodeHeartbeat(report);
+  std::string NextHeartbeat() {
+    ++heartbeat.sequence;
+    return EncodeHeartbeat(heartbeat);
   }
 };
 
@@ -60,25 +60,27 @@
       oracle_(oracle),
       ticker_(loop, [this] { Tick(); }),
       server_(loop, cloud, HttpServerLimits(),
-              [this](const HttpMessage& m, const HttpServer::Reply& r) { Cloud(m, r); }) {
+              [this](const HttpMessage& request, const HttpServer::Reply& reply) {
+                HandleCloudRequest(request, reply);
+              }) {
   ticker_.Start(kTickSeconds, kTickSeconds);
 }
 
 LoopbackFleet::~LoopbackFleet() = default;
 
-void LoopbackFleet::Cloud(const HttpMessage& request, const HttpServer::Reply& reply) {
+void LoopbackFleet::HandleCloudRequest(const HttpMessage& request, const HttpServer::Reply& reply) {
   if (request.target == "/flavors") {
-    reply(Flavors());
+    reply(ListTypes());
   } else if (request.target == "/machines/return") {
-    reply(Return(request.body));
+    reply(ScaleIn(request.body));
   } else if (request.method == "POST") {
-    reply(Rent(request.body));
+    reply(ScaleOut(request.body));
   } else {
     reply(List());
   }
 }
 
-HttpAnswer LoopbackFleet::Flavors() const {
+HttpAnswer LoopbackFleet::ListTypes() const {
   std::string zones;
   for (const LoopbackZone& zone : options_.zones) {
     zones += (zones.empty() ? "\"" : ",\"") + zone.name + "\"";
@@ -91,10 +93,10 @@
             std::to_string(type.price) + ",\"low_price\":" + std::to_string(type.price) +
             ",\"startup_s\":" + std::to_string(options_.boot_s) + ",\"muelles\":[" + zones + "]}";
   }
-  return Answer(200, "{\"cascos\":[" + rows + "]}");
+  return MakeResponse(200, "{\"cascos\":[" + rows + "]}");
 }
 
-HttpAnswer LoopbackFleet::Rent(const std::string& body) {
+HttpAnswer LoopbackFleet::ScaleOut(const std::string& body) {
   rapidjson::Document doc;
   std::string request;
   std::string type;
@@ -103,70 +105,72 @@
   if (!ParseJson(body, &doc) || !JsonString(doc, "flete", &request) ||
       !JsonString(doc, "casco", &type) || !JsonString(doc, "muelle", &zone) ||
       !JsonU64(doc, "how_many", &count)) {
-    return Answer(400, "{}");
+    return MakeResponse(400, "{}");
   }
-  if (rented_.contains(request)) return Answer(200, rented_[request]);
+  if (scaled_out_.contains(request)) return MakeResponse(200, scaled_out_[request]);
   std::string names;
-  for (; count > 0 && static_cast<int>(workers_.size()) < options_.most_machines; --count) {
+  for (; count > 0 && static_cast<int>(workers_.size()) < options_.max_machines; --count) {
     auto worker = std::make_unique<Worker>();
     char name[20];
     std::snprintf(name, sizeof name, "m-%06d", next_machine_++);
-    worker->report.machine = name;
-    worker->report.type = type;
-    worker->report.zone = zone;
-    worker->report.agent_epoch = 1;
-    worker->rented_at = SteadySeconds();
-    worker->boots_at = worker->rented_at + options_.boot_s;
+    worker->heartbeat.machine = name;
+    worker->heartbeat.type = type;
+    worker->heartbeat.zone = zone;
+    worker->heartbeat.agent_epoch = 1;
+    worker->provisioned_at = SteadySeconds();
+    worker->boot_done_at = worker->provisioned_at + options_.boot_s;
     names += (names.empty() ? "\"" : ",\"") + std::string(name) + "\"";
     workers_[name] = std::move(worker);
   }
-  if (names.empty()) return Answer(503, "{\"error\":\"no capacity\"}");
-  rented_[request] = "{\"cubiertas\":[" + names + "]}";
-  return Answer(200, rented_[request]);
+  if (names.empty()) return MakeResponse(503, "{\"error\":\"no capacity\"}");
+  scaled_out_[request] = "{\"cubiertas\":[" + names + "]}";
+  return MakeResponse(200, scaled_out_[request]);
 }
 
-HttpAnswer LoopbackFleet::Return(const std::string& body) {
+HttpAnswer LoopbackFleet::ScaleIn(const std::string& body) {
   rapidjson::Document doc;
-  if (!ParseJson(body, &doc)) return Answer(400, "{}");
+  if (!ParseJson(body, &doc)) return MakeResponse(400, "{}");
   for (const auto& name : doc["cubiertas"].GetArray()) Remove(name.GetString(), "returned");
-  return Answer(200, "{}");
+  return MakeResponse(200, "{}");
 }
 
 HttpAnswer LoopbackFleet::List() const {
   std::string rows;
-  for (const auto& [name, w] : workers_) {
-    if (w->state == "returned") continue;
+  for (const auto& [name, worker] : workers_) {
+    if (worker->state == "returned") continue;
     if (!rows.empty()) rows += ',';
-    rows += "{\"name_id\":\"" + name + "\",\"endpoint\":\"" + w->report.endpoint +
-            "\",\"casco\":\"" + w->report.type + "\",\"muelle\":\"" + w->report.zone +
-            "\",\"prestados\":false,\"estado\":\"" + w->state +
-            "\",\"age_s\":" + std::to_string(SteadySeconds() - w->rented_at) + "}";
+    rows += "{\"name_id\":\"" + name + "\",\"endpoint\":\"" + worker->heartbeat.endpoint +
+            "\",\"casco\":\"" + worker->heartbeat.type + "\",\"muelle\":\"" +
+            worker->heartbeat.zone + "\",\"prestados\":false,\"estado\":\"" + worker->state +
+            "\",\"age_s\":" + std::to_string(SteadySeconds() - worker->provisioned_at) + "}";
   }
-  return Answer(200, "{\"cubiertas\":[" + rows + "],\"truncated\":false}");
+  return MakeResponse(200, "{\"cubiertas\":[" + rows + "],\"truncated\":false}");
 }
 
 void LoopbackFleet::Boot(Worker* worker) {
   const auto zone =
       std::find_if(options_.zones.begin(), options_.zones.end(),
-                   [worker](const LoopbackZone& z) { return z.name == worker->report.zone; });
+                   [worker](const LoopbackZone& z) { return z.name == worker->heartbeat.zone; });
   worker->state = "running";
   const Endpoint at = FreeEndpoint(zone->network + "." + std::to_string(++hosts_[zone->network]));
-  worker->report.endpoint = at.Text();
+  worker->heartbeat.endpoint = at.Text();
   worker->server = std::make_unique<HttpServer>(
       loop_, at, HttpServerLimits(),
-      [this, worker](const HttpMessage& m, const HttpServer::Reply& r) { Handle(worker, m, r); });
+      [this, worker](const HttpMessage& request, const HttpServer::Reply& reply) {
+        Handle(worker, request, reply);
+      });
   worker->client = std::make_unique<HttpClient>(loop_, 4, 1 << 20);
-  worker->lease_from = worker->next_report = SteadySeconds();
+  worker->lease_start = worker->next_heartbeat_at = SteadySeconds();
   worker->controller = workers_.size() % controllers_.size();
 }
 
 void LoopbackFleet::Remove(const std::string& machine, const char* state) {
   auto it = workers_.find(machine);
   if (it == workers_.end() || it->second->state == "returned") return;
-  Worker* w = it->second.get();
-  oracle_->MachineGone(SteadySeconds(), machine);
-  w->report.tasks.clear();
-  w->state = state;
+  Worker* worker = it->second.get();
+  oracle_->MachineLost(SteadySeconds(), machine);
+  worker->heartbeat.tasks.clear();
+  worker->state = state;
 }
 
 void LoopbackFleet::Kill(const std::string& machine) {
@@ -176,155 +180,158 @@
 
 void LoopbackFleet::Handle(Worker* worker, const HttpMessage& request,
                            const HttpServer::Reply& reply) {
-  // A machine that is gone is silent.
+  // A machine that was released or failed sends no response.
   if (worker->state != "running") return;
   if (request.target == "/inspect") {
-    reply(Answer(200, worker->Reported()));
+    reply(MakeResponse(200, worker->NextHeartbeat()));
     return;
   }
-  const std::optional<WorkerCommands> orders = DecodeCommands(request.body);
-  if (!orders) {
-    reply(Answer(400, "{}"));
+  const std::optional<WorkerCommands> batch = DecodeCommands(request.body);
+  if (!batch) {
+    reply(MakeResponse(400, "{}"));
     return;
   }
-  const bool entitled = orders->fencing_token >= worker->report.fencing_token &&
-                        orders->agent_epoch == worker->report.agent_epoch;
-  if (entitled) Execute(worker, *orders);
-  reply(Answer(entitled ? 200 : 409, worker->Reported()));
+  const bool authorized = batch->fencing_token >= worker->heartbeat.fencing_token &&
+                          batch->agent_epoch == worker->heartbeat.agent_epoch;
+  if (authorized) Execute(worker, *batch);
+  reply(MakeResponse(authorized ? 200 : 409, worker->NextHeartbeat()));
 }
 
-void LoopbackFleet::Execute(Worker* worker, const WorkerCommands& orders) {
-  std::vector<TaskStatus>& tasks = worker->report.tasks;
-  if (orders.fencing_token > worker->report.fencing_token) worker->changed = true;
-  worker->report.fencing_token = std::max(worker->report.fencing_token, orders.fencing_token);
-  for (const Command& c : orders.commands) {
-    auto it = std::find_if(tasks.begin(), tasks.end(), [&c](const TaskStatus& t) {
-      return t.task_name == c.task_name && t.attempt == c.attempt;
+void LoopbackFleet::Execute(Worker* worker, const WorkerCommands& batch) {
+  std::vector<TaskStatus>& tasks = worker->heartbeat.tasks;
+  if (batch.fencing_token > worker->heartbeat.fencing_token) worker->changed = true;
+  worker->heartbeat.fencing_token = std::max(worker->heartbeat.fencing_token, batch.fencing_token);
+  for (const Command& command : batch.commands) {
+    auto it = std::find_if(tasks.begin(), tasks.end(), [&command](const TaskStatus& status) {
+      return status.task_name == command.task_name && status.attempt == command.attempt;
     });
-    const bool here = it != tasks.end() && it->state != TaskState::kExited;
-    if (c.operation == CommandOp::kStart && it == tasks.end()) {
-      Launch(worker, c);
-    } else if (c.operation == CommandOp::kStop && here) {
-      oracle_->Stopped(SteadySeconds(), SteadySeconds(), c.task_name);
-      End(worker, &*it, ExitReason::kStopped);
-    } else if (c.operation == CommandOp::kAcknowledgeExit && it != tasks.end() && !here) {
+    const bool active = it != tasks.end() && it->state != TaskState::kExited;
+    if (command.operation == CommandOp::kStart && it == tasks.end()) {
+      Launch(worker, command);
+    } else if (command.operation == CommandOp::kStop && active) {
+      oracle_->TaskStopped(SteadySeconds(), SteadySeconds(), command.task_name);
+      EndTask(worker, &*it, ExitReason::kStopped);
+    } else if (command.operation == CommandOp::kAcknowledgeExit && it != tasks.end() && !active) {
       tasks.erase(it);
     }
   }
 }
 
 void LoopbackFleet::Launch(Worker* worker, const Command& command) {
-  std::vector<TaskStatus>& tasks = worker->report.tasks;
+  std::vector<TaskStatus>& tasks = worker->heartbeat.tasks;
   const auto job = jobs_.find(JobOf(command.task_name));
-  const bool here = std::any_of(tasks.begin(), tasks.end(), [&command](const TaskStatus& other) {
+  const bool active = std::any_of(tasks.begin(), tasks.end(), [&command](const TaskStatus& other) {
     return other.task_name == command.task_name && other.state != TaskState::kExited;
   });
-  ExitReason refused = ExitReason::kNone;
+  ExitReason rejection = ExitReason::kNone;
   if (job == jobs_.end()) {
-    refused = ExitReason::kUnknown;
-  } else if (here) {
-    refused = ExitReason::kInUse;
-  } else if (worker->Used(jobs_) + job->second.cores > options_.cores + 1e-6) {
-    refused = ExitReason::kNoRoom;
+    rejection = ExitReason::kUnknown;
+  } else if (active) {
+    rejection = ExitReason::kInUse;
+  } else if (worker->UsedCores(jobs_) + job->second.cores > options_.cores + 1e-6) {
+    rejection = ExitReason::kNoRoom;
   }
   tasks.push_back(
       {command.task_name, command.attempt, TaskState::kFetching, ExitReason::kNone, false});
   worker->changed = true;
-  if (refused != ExitReason::kNone) {
-    End(worker, &tasks.back(), refused);
+  if (rejection != ExitReason::kNone) {
+    EndTask(worker, &tasks.back(), rejection);
   } else {
-    worker->runs_at[command.task_name] = SteadySeconds() + options_.start_s;
+    worker->task_runs_at[command.task_name] = SteadySeconds() + options_.task_start_s;
   }
 }
 
-void LoopbackFleet::End(Worker* worker, TaskStatus* task, ExitReason why) {
+void LoopbackFleet::EndTask(Worker* worker, TaskStatus* task, ExitReason reason) {
   if (task->state == TaskState::kRunning) {
-    oracle_->Ended(SteadySeconds(), task->task_name, worker->report.machine);
+    oracle_->TaskEnded(SteadySeconds(), task->task_name, worker->heartbeat.machine);
   }
   task->state = TaskState::kExited;
-  task->exit_reason = why;
+  task->exit_reason = reason;
   worker->changed = true;
 }
 
-void LoopbackFleet::SendReport(Worker* worker) {
-  worker->waiting = true;
+void LoopbackFleet::SendHeartbeat(Worker* worker) {
+  worker->awaiting_response = true;
   worker->changed = false;
-  worker->reported_at = SteadySeconds();
-  worker->client->Call(controllers_[worker->controller],
-                       {"POST", "/checkin", worker->Reported(), kReportTimeout},
-                       [this, worker, sent = SteadySeconds(),
-                        session = worker->report.agent_epoch](const HttpResult& r) {
-                         worker->waiting = false;
-                         if (worker->state == "running" && session == worker->report.agent_epoch) {
-                           Answered(worker, sent, r);
-                         }
-                       });
+  worker->last_heartbeat_at = SteadySeconds();
+  worker->client->Call(
+      controllers_[worker->controller],
+      {"POST", "/checkin", worker->NextHeartbeat(), kHeartbeatTimeoutSeconds},
+      [this, worker, sent = SteadySeconds(),
+       agent_epoch = worker->heartbeat.agent_epoch](const HttpResult& result) {
+        worker->awaiting_response = false;
+        if (worker->state == "running" && agent_epoch == worker->heartbeat.agent_epoch) {
+          HandleHeartbeatResponse(worker, sent, result);
+        }
+      });
 }
 
-void LoopbackFleet::Answered(Worker* worker, double sent, const HttpResult& result) {
-  const std::optional<WorkerCommands> orders =
+void LoopbackFleet::HandleHeartbeatResponse(Worker* worker, double sent, const HttpResult& result) {
+  const std::optional<WorkerCommands> batch =
       result.status == 200 ? DecodeCommands(result.body) : std::nullopt;
-  if (!orders) {
+  if (!batch) {
     worker->controller = (worker->controller + 1) % controllers_.size();
-    worker->next_report = SteadySeconds() + 1;
+    worker->next_heartbeat_at = SteadySeconds() + 1;
     return;
   }
-  worker->next_report = SteadySeconds() + options_.report_s;
-  if (orders->fencing_token < worker->report.fencing_token) return;
-  worker->lease_from = sent;
-  Execute(worker, *orders);
+  worker->next_heartbeat_at = SteadySeconds() + options_.heartbeat_interval_s;
+  if (batch->fencing_token < worker->heartbeat.fencing_token) return;
+  worker->lease_start = sent;
+  Execute(worker, *batch);
 }
 
-void LoopbackFleet::EndSession(Worker* worker) {
-  for (TaskStatus& t : worker->report.tasks) {
-    if (t.state != TaskState::kExited) End(worker, &t, ExitReason::kStopped);
+void LoopbackFleet::StartNewEpoch(Worker* worker) {
+  for (TaskStatus& status : worker->heartbeat.tasks) {
+    if (status.state != TaskState::kExited) EndTask(worker, &status, ExitReason::kStopped);
   }
-  worker->report.tasks.clear();
-  ++worker->report.agent_epoch;
-  worker->lease_from = SteadySeconds();
+  worker->heartbeat.tasks.clear();
+  ++worker->heartbeat.agent_epoch;
+  worker->lease_start = SteadySeconds();
 }
 
 void LoopbackFleet::Tick() {
   const double now = SteadySeconds();
-  for (auto& [name, owned] : workers_) {
-    Worker* w = owned.get();
-    if (w->state == "starting" && now >= w->boots_at) Boot(w);
-    if (w->state != "running") continue;
-    if (now - w->lease_from > options_.lease_s) EndSession(w);
-    for (TaskStatus& t : w->report.tasks) {
-      if (t.state != TaskState::kFetching || now < w->runs_at[t.task_name]) continue;
-      t.state = TaskState::kRunning;
-      w->changed = true;
-      oracle_->Started(now, t.task_name, jobs_.at(JobOf(t.task_name)), name);
+  for (auto& [name, entry] : workers_) {
+    Worker* worker = entry.get();
+    if (worker->state == "starting" && now >= worker->boot_done_at) Boot(worker);
+    if (worker->state != "running") continue;
+    if (now - worker->lease_start > options_.lease_s) StartNewEpoch(worker);
+    for (TaskStatus& status : worker->heartbeat.tasks) {
+      if (status.state != TaskState::kFetching || now < worker->task_runs_at[status.task_name])
+        continue;
+      status.state = TaskState::kRunning;
+      worker->changed = true;
+      oracle_->TaskStarted(now, status.task_name, jobs_.at(JobOf(status.task_name)), name);
     }
     const bool due =
-        now >= w->next_report || (w->changed && now - w->reported_at >= kLeastBetweenReports);
-    if (!w->waiting && due) SendReport(w);
+        now >= worker->next_heartbeat_at ||
+        (worker->changed && now - worker->last_heartbeat_at >= kMinHeartbeatIntervalSeconds);
+    if (!worker->awaiting_response && due) SendHeartbeat(worker);
   }
 }
 
-std::string LoopbackFleet::AnyBusy(uint64_t draw) const {
+std::string LoopbackFleet::PickBusyMachine(uint64_t random_number) const {
   std::vector<std::string> busy;
-  for (const auto& [name, w] : workers_) {
-    if (w->state == "running" && !w->report.tasks.empty()) busy.push_back(name);
+  for (const auto& [name, worker] : workers_) {
+    if (worker->state == "running" && !worker->heartbeat.tasks.empty()) busy.push_back(name);
   }
-  return busy.empty() ? "" : busy[draw % busy.size()];
+  return busy.empty() ? "" : busy[random_number % busy.size()];
 }
 
-size_t LoopbackFleet::Machines(const std::string& zone, const std::string& type) const {
+size_t LoopbackFleet::CountMachines(const std::string& zone, const std::string& type) const {
   return static_cast<size_t>(
       std::count_if(workers_.begin(), workers_.end(), [&zone, &type](const auto& entry) {
-        const Worker& w = *entry.second;
-        return w.state == "running" && (zone.empty() || w.report.zone == zone) &&
-               (type.empty() || w.report.type == type);
+        const Worker& worker = *entry.second;
+        return worker.state == "running" && (zone.empty() || worker.heartbeat.zone == zone) &&
+               (type.empty() || worker.heartbeat.type == type);
       }));
 }
 
-bool LoopbackFleet::Runs(const std::string& task) const {
+bool LoopbackFleet::IsRunning(const std::string& task) const {
   return std::any_of(workers_.begin(), workers_.end(), [&task](const auto& entry) {
-    const std::vector<TaskStatus>& tasks = entry.second->report.tasks;
-    return std::any_of(tasks.begin(), tasks.end(), [&task](const TaskStatus& t) {
-      return t.task_name == task && t.state == TaskState::kRunning;
+    const std::vector<TaskStatus>& tasks = entry.second->heartbeat.tasks;
+    return std::any_of(tasks.begin(), tasks.end(), [&task](const TaskStatus& status) {
+      return status.task_name == task && status.state == TaskState::kRunning;
     });
   });
 }
--- a/tests/loopback_fleet.h
+++ b/tests/loopback_fleet.h
@@ -1,5 +1,5 @@
-// Stand-ins for the cloud and its workers, over real connections on the loopback interface. The
-// workers keep the truth of what runs, and tell it to the oracle of disruptions.
+// Fakes of the cloud and its workers with real connections on the loopback interface. The workers
+// report the start and end of each task to the disruption oracle.
 #pragma once
 
 #include <map>
@@ -19,7 +19,7 @@
 
 struct LoopbackZone {
   std::string name;
-  std::string network;  // the first three numbers of its machines' addresses
+  std::string network;  // first three octets of its machines' addresses
 };
 
 struct LoopbackOptions {
@@ -30,11 +30,11 @@
   };
   std::vector<Type> types;
   double cores = 8;
-  double report_s = 1;
+  double heartbeat_interval_s = 1;
   double lease_s = 8;
   double boot_s = 1;
-  double start_s = 0.4;  // from a launch until the task runs
-  int most_machines = 40;
+  double task_start_s = 0.4;  // from the start command until the task runs
+  int max_machines = 40;
 };
 
 class LoopbackFleet {
@@ -43,32 +43,32 @@
                 std::vector<Endpoint> controllers, DisruptionOracle* oracle);
   ~LoopbackFleet();
 
-  // What users submitted: workers fetch descriptions on their own.
-  void Know(const JobSpec& spec) { jobs_[spec.id] = spec; }
-  // Lost at once, with all that is on it; the cloud lists it as failed.
+  // Adds a submitted job, so that the workers know its description.
+  void AddJob(const JobSpec& spec) { jobs_[spec.id] = spec; }
+  // The machine fails together with its tasks; the cloud lists it as failed.
   void Kill(const std::string& machine);
-  std::string AnyBusy(uint64_t draw) const;
-  size_t Machines(const std::string& zone, const std::string& type) const;
-  bool Runs(const std::string& task) const;
+  std::string PickBusyMachine(uint64_t random_number) const;
+  size_t CountMachines(const std::string& zone, const std::string& type) const;
+  bool IsRunning(const std::string& task) const;
   int killed() const { return killed_; }
 
  private:
   struct Worker;
-  void Cloud(const HttpMessage& request, const HttpServer::Reply& reply);
-  HttpAnswer Flavors() const;
-  HttpAnswer Rent(const std::string& body);
-  HttpAnswer Return(const std::string& body);
+  void HandleCloudRequest(const HttpMessage& request, const HttpServer::Reply& reply);
+  HttpAnswer ListTypes() const;
+  HttpAnswer ScaleOut(const std::string& body);
+  HttpAnswer ScaleIn(const std::string& body);
   HttpAnswer List() const;
   void Boot(Worker* worker);
   void Remove(const std::string& machine, const char* state);
   void Handle(Worker* worker, const HttpMessage& request, const HttpServer::Reply& reply);
-  void Execute(Worker* worker, const WorkerCommands& orders);
+  void Execute(Worker* worker, const WorkerCommands& batch);
   void Launch(Worker* worker, const Command& command);
-  void End(Worker* worker, TaskStatus* task, ExitReason why);
-  void SendReport(Worker* worker);
-  void Answered(Worker* worker, double sent, const HttpResult& result);
-  // Its lease ran out.
-  void EndSession(Worker* worker);
+  void EndTask(Worker* worker, TaskStatus* task, ExitReason reason);
+  void SendHeartbeat(Worker* worker);
+  void HandleHeartbeatResponse(Worker* worker, double sent, const HttpResult& result);
+  // Ends all tasks after the lease has expired.
+  void StartNewEpoch(Worker* worker);
   void Tick();
 
   Loop* loop_;
@@ -77,8 +77,8 @@
   DisruptionOracle* oracle_;
   std::map<std::string, JobSpec> jobs_;
   std::map<std::string, std::unique_ptr<Worker>> workers_;
-  std::map<std::string, std::string> rented_;  // answers by request
-  std::map<std::string, int> hosts_;           // last host number by network
+  std::map<std::string, std::string> scaled_out_;  // response by request id
+  std::map<std::string, int> hosts_;               // last host number by network
   int next_machine_ = 1;
   int killed_ = 0;
   Timer ticker_;
--- a/tests/loopback_state.cc
+++ b/tests/loopback_state.cc
@@ -11,14 +11,14 @@
 
 constexpr double kTickSeconds = 0.02;
 
-HttpAnswer Answer(int status, std::string body) {
-  HttpAnswer answer;
-  answer.status = status;
-  answer.body = std::move(body);
-  return answer;
+HttpAnswer MakeResponse(int status, std::string body) {
+  HttpAnswer response;
+  response.status = status;
+  response.body = std::move(body);
+  return response;
 }
 
-// The value of a parameter in the query of a target.
+// Returns the value of a query parameter; empty if it is missing.
 std::string Parameter(const std::string& target, const std::string& name) {
   const size_t at = target.find(name + "=");
   if (at == std::string::npos) return "";
@@ -28,8 +28,8 @@
 
 std::string Text(const JsonValue& value) {
   rapidjson::StringBuffer buffer;
-  JsonWriter w(buffer);
-  value.Accept(w);
+  JsonWriter writer(buffer);
+  value.Accept(writer);
   return {buffer.GetString(), buffer.GetSize()};
 }
 
@@ -37,24 +37,26 @@
 
 Endpoint FreeEndpoint(const std::string& host) {
   const int fd = socket(AF_INET, SOCK_STREAM, 0);
-  sockaddr_in at{};
-  at.sin_family = AF_INET;
-  inet_pton(AF_INET, host.c_str(), &at.sin_addr);
-  socklen_t size = sizeof at;
-  EXPECT_EQ(bind(fd, reinterpret_cast<sockaddr*>(&at), size), 0);
-  getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size);
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  inet_pton(AF_INET, host.c_str(), &address.sin_addr);
+  socklen_t size = sizeof address;
+  EXPECT_EQ(bind(fd, reinterpret_cast<sockaddr*>(&address), size), 0);
+  getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size);
   close(fd);
-  return {host, ntohs(at.sin_port)};
+  return {host, ntohs(address.sin_port)};
 }
 
 LoopbackState::LoopbackState(Loop* loop, const Endpoint& at)
     : ticker_(loop, [this] { Tick(); }),
       server_(loop, at, HttpServerLimits(),
-              [this](const HttpMessage& m, const HttpServer::Reply& r) { Handle(m, r); }) {
+              [this](const HttpMessage& request, const HttpServer::Reply& reply) {
+                Handle(request, reply);
+              }) {
   ticker_.Start(kTickSeconds, kTickSeconds);
 }
 
-void LoopbackState::OutUntil(double t) { out_until_ = t; }
+void LoopbackState::SetUnavailableUntil(double until) { unavailable_until_ = until; }
 
 std::string LoopbackState::Leader() const {
   auto it = keys_.find("deckhall/leader");
@@ -73,13 +75,13 @@
   const std::string& target = request.target;
   if (target.starts_with("/follow")) {
     const std::string from = Parameter(target, "from");
-    const std::string hold = Parameter(target, "hold_ms");
-    followers_.push_back({Parameter(target, "starts"), std::stoull(from),
-                          SteadySeconds() + std::stod(hold) / 1000, reply});
+    const std::string hold_ms = Parameter(target, "hold_ms");
+    pending_watches_.push_back({Parameter(target, "starts"), std::stoull(from),
+                                SteadySeconds() + std::stod(hold_ms) / 1000, reply});
     return;
   }
-  if (SteadySeconds() < out_until_) {
-    reply(Answer(503, "{}"));
+  if (SteadySeconds() < unavailable_until_) {
+    reply(MakeResponse(503, "{}"));
   } else if (target.starts_with("/kv/")) {
     reply(Get(target.substr(4)));
   } else if (target.starts_with("/kv")) {
@@ -89,16 +91,16 @@
   } else if (target == "/txn") {
     reply(Commit(request.body));
   } else {
-    reply(Grants(request));
+    reply(HandleLeases(request));
   }
 }
 
 HttpAnswer LoopbackState::Get(const std::string& key) const {
   auto it = keys_.find(key);
-  if (it == keys_.end()) return Answer(404, Revision());
-  return Answer(200, "{\"key\":\"" + key + "\",\"data\":" + it->second.value +
-                         ",\"huella\":" + std::to_string(it->second.version) +
-                         ",\"amarre\":" + std::to_string(it->second.lease) + "}");
+  if (it == keys_.end()) return MakeResponse(404, Revision());
+  return MakeResponse(200, "{\"key\":\"" + key + "\",\"data\":" + it->second.value +
+                               ",\"huella\":" + std::to_string(it->second.version) +
+                               ",\"amarre\":" + std::to_string(it->second.lease) + "}");
 }
 
 HttpAnswer LoopbackState::List(const std::string& prefix, const std::string& after,
@@ -114,66 +116,67 @@
     rows += "{\"key\":\"" + key + "\",\"data\":" + entry.value +
             ",\"huella\":" + std::to_string(entry.version) + "}";
   }
-  return Answer(200, "{\"rows\":[" + rows + "],\"truncated\":" + (truncated ? "true" : "false") +
-                         ",\"marea\":" + std::to_string(revision_) + "}");
+  return MakeResponse(200, "{\"rows\":[" + rows +
+                               "],\"truncated\":" + (truncated ? "true" : "false") +
+                               ",\"marea\":" + std::to_string(revision_) + "}");
 }
 
 HttpAnswer LoopbackState::Commit(const std::string& body) {
   rapidjson::Document doc;
-  if (!ParseJson(body, &doc)) return Answer(400, "{}");
+  if (!ParseJson(body, &doc)) return MakeResponse(400, "{}");
   if (const JsonValue* conditions = JsonMember(doc, "if")) {
-    for (const auto& c : conditions->GetArray()) {
-      auto it = keys_.find(c["key"].GetString());
+    for (const auto& precondition : conditions->GetArray()) {
+      auto it = keys_.find(precondition["key"].GetString());
       const uint64_t version = it == keys_.end() ? 0 : it->second.version;
-      if (version != c["huella"].GetUint64()) {
-        return Answer(409, "{\"failed\":[],\"marea\":" + std::to_string(revision_) + "}");
+      if (version != precondition["huella"].GetUint64()) {
+        return MakeResponse(409, "{\"failed\":[],\"marea\":" + std::to_string(revision_) + "}");
       }
     }
   }
   const JsonValue* writes = JsonMember(doc, "writes");
-  if (writes == nullptr) return Answer(200, Revision());
-  for (const auto& w : writes->GetArray()) {
+  if (writes == nullptr) return MakeResponse(200, Revision());
+  for (const auto& write : writes->GetArray()) {
     uint64_t lease = 0;
-    if (JsonU64(w, "amarre", &lease) && !leases_.contains(lease)) {
-      return Answer(400, "{\"error\":\"no such lease\"}");
+    if (JsonU64(write, "amarre", &lease) && !leases_.contains(lease)) {
+      return MakeResponse(400, "{\"error\":\"no such lease\"}");
     }
   }
   ++revision_;
-  for (const auto& w : writes->GetArray()) {
+  for (const auto& write : writes->GetArray()) {
     std::string key;
-    if (JsonString(w, "remove", &key)) {
+    if (JsonString(write, "remove", &key)) {
       keys_.erase(key);
-    } else if (JsonString(w, "put", &key)) {
-      Entry entry{Text(w["data"]), revision_, 0};
-      JsonU64(w, "amarre", &entry.lease);
+    } else if (JsonString(write, "put", &key)) {
+      Entry entry{Text(write["data"]), revision_, 0};
+      JsonU64(write, "amarre", &entry.lease);
       keys_[key] = entry;
     }
     changed_at_[key] = revision_;
   }
-  return Answer(200, Revision());
+  return MakeResponse(200, Revision());
 }
 
-HttpAnswer LoopbackState::Grants(const HttpMessage& request) {
+HttpAnswer LoopbackState::HandleLeases(const HttpMessage& request) {
   constexpr std::string_view kPath = "/grants";
   if (request.target == kPath) {
     rapidjson::Document doc;
     double ttl_ms = 0;
     if (!ParseJson(request.body, &doc) || !JsonNumber(doc, "ttl_ms", &ttl_ms)) {
-      return Answer(400, "{}");
+      return MakeResponse(400, "{}");
     }
     const uint64_t id = next_lease_++;
     leases_[id] = {ttl_ms / 1000, SteadySeconds() + ttl_ms / 1000};
-    return Answer(200, "{\"amarre\":" + std::to_string(id) + "}");
+    return MakeResponse(200, "{\"amarre\":" + std::to_string(id) + "}");
   }
   const uint64_t id = std::stoull(request.target.substr(kPath.size() + 1));
   auto it = leases_.find(id);
-  if (it == leases_.end()) return Answer(404, Revision());
+  if (it == leases_.end()) return MakeResponse(404, Revision());
   if (request.method == "DELETE") {
     EndLease(id);
   } else {
-    it->second.until = SteadySeconds() + it->second.ttl_s;
+    it->second.expires_at = SteadySeconds() + it->second.ttl_s;
   }
-  return Answer(200, "{}");
+  return MakeResponse(200, "{}");
 }
 
 void LoopbackState::EndLease(uint64_t lease) {
@@ -182,7 +185,7 @@
   for (const auto& [key, entry] : keys_) {
     if (entry.lease == lease) changed_at_[key] = revision_;
   }
-  std::erase_if(keys_, [lease](const auto& e) { return e.second.lease == lease; });
+  std::erase_if(keys_, [lease](const auto& entry) { return entry.second.lease == lease; });
 }
 
 bool LoopbackState::ChangedAfter(const std::string& prefix, uint64_t revision) const {
@@ -194,23 +197,23 @@
 
 void LoopbackState::Tick() {
   const double now = SteadySeconds();
-  if (now < out_until_) {
-    for (auto& [id, lease] : leases_) lease.until = out_until_ + lease.ttl_s;
+  if (now < unavailable_until_) {
+    for (auto& [id, lease] : leases_) lease.expires_at = unavailable_until_ + lease.ttl_s;
     return;
   }
-  std::vector<uint64_t> over;
+  std::vector<uint64_t> expired;
   for (const auto& [id, lease] : leases_) {
-    if (now > lease.until) over.push_back(id);
+    if (now > lease.expires_at) expired.push_back(id);
   }
-  for (uint64_t id : over) EndLease(id);
-  std::vector<Follower> ready;
-  std::erase_if(followers_, [this, now, &ready](const Follower& f) {
-    if (now < f.until && !ChangedAfter(f.prefix, f.after)) return false;
-    ready.push_back(f);
+  for (uint64_t id : expired) EndLease(id);
+  std::vector<PendingWatch> ready;
+  std::erase_if(pending_watches_, [this, now, &ready](const PendingWatch& watch) {
+    if (now < watch.until && !ChangedAfter(watch.prefix, watch.after)) return false;
+    ready.push_back(watch);
     return true;
   });
-  for (const Follower& f : ready) {
-    f.reply(Answer(200, "{\"marea\":" + std::to_string(revision_) + ",\"events\":[]}"));
+  for (const PendingWatch& watch : ready) {
+    watch.reply(MakeResponse(200, "{\"marea\":" + std::to_string(revision_) + ",\"events\":[]}"));
   }
 }
 
--- a/tests/loopback_state.h
+++ b/tests/loopback_state.h
@@ -1,5 +1,5 @@
-// A stand-in for the state service, over real connections on the loopback interface: keys,
-// transactions, leases and watches as PROTOCOL describes them.
+// Fake of the state service with real connections on the loopback interface: keys, transactions,
+// leases and watches as described in PROTOCOL.
 #pragma once
 
 #include <cstdint>
@@ -13,16 +13,17 @@
 
 namespace deckhall {
 
-// A port on that loopback address which was free a moment ago.
+// Returns a port on the loopback address that was free when it was probed.
 Endpoint FreeEndpoint(const std::string& host);
 
 class LoopbackState {
  public:
   LoopbackState(Loop* loop, const Endpoint& at);
 
-  // Answers 503 to everything until then, by the steady clock. Leases have their full time after.
-  void OutUntil(double t);
-  // The label of whoever holds the key of the leader; empty: nobody.
+  // Responds 503 to all requests but watches until `until` on the monotonic clock. Afterwards
+  // leases have their full time to live.
+  void SetUnavailableUntil(double until);
+  // The label of the controller that holds the leader key; empty if there is none.
   std::string Leader() const;
 
  private:
@@ -33,9 +34,9 @@
   };
   struct Lease {
     double ttl_s = 0;
-    double until = 0;
+    double expires_at = 0;
   };
-  struct Follower {
+  struct PendingWatch {
     std::string prefix;
     uint64_t after = 0;
     double until = 0;
@@ -46,19 +47,19 @@
   HttpAnswer Get(const std::string& key) const;
   HttpAnswer List(const std::string& prefix, const std::string& after, size_t page) const;
   HttpAnswer Commit(const std::string& body);
-  HttpAnswer Grants(const HttpMessage& request);
+  HttpAnswer HandleLeases(const HttpMessage& request);
   void EndLease(uint64_t lease);
   void Tick();
   bool ChangedAfter(const std::string& prefix, uint64_t revision) const;
   std::string Revision() const;
 
   std::map<std::string, Entry> keys_;
-  std::map<std::string, uint64_t> changed_at_;  // removed keys included
+  std::map<std::string, uint64_t> changed_at_;  // last revision by key, including removed keys
   std::map<uint64_t, Lease> leases_;
-  std::vector<Follower> followers_;
+  std::vector<PendingWatch> pending_watches_;
   uint64_t revision_ = 1;
   uint64_t next_lease_ = 1;
-  double out_until_ = -1;
+  double unavailable_until_ = -1;
   Timer ticker_;
   HttpServer server_;
 };
--- a/tests/meeting_test.cc
+++ b/tests/meeting_test.cc
@@ -10,14 +10,14 @@
 
 TEST(Meeting, MoreWorkThanRoomUrgentAndNotOverSlowLinks) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    auto cluster = Started(seed, 3, 4);
-    cluster->delay_s = 0.12;
-    cluster->slow_state_s = 0.1;
-    cluster->run_s = 8;
+    auto cluster = StartCluster(seed, 3, 4);
+    cluster->message_delay_s = 0.12;
+    cluster->state_delay_s = 0.1;
+    cluster->array_run_s = 8;
     std::vector<std::string> arrays;
     cluster->Submit(cluster->Service("job-900", 2));
     for (int i = 1; i <= 12; ++i) {
-      JobSpec spec = cluster->Array(JobName(i), 6, i % 3 == 0 ? 4 : 2);
+      JobSpec spec = cluster->Array(JobId(i), 6, i % 3 == 0 ? 4 : 2);
       spec.priority = i % 3 == 1   ? Priority::kUrgent
                       : i % 3 == 2 ? Priority::kNormal
                                    : Priority::kIdle;
@@ -26,18 +26,18 @@
       cluster->Submit(spec);
       cluster->Run(0.5);
     }
-    ExpectServed(cluster.get(), arrays, 300, seed);
+    ExpectArraysDone(cluster.get(), arrays, 300, seed);
   }
 }
 
 TEST(Meeting, JobsOfAFewTasksEndFarApartAcrossAChangeOfLeader) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    auto cluster = Started(seed, 3, 4);
+    auto cluster = StartCluster(seed, 3, 4);
     std::vector<std::string> arrays;
     for (int i = 1; i <= 4; ++i) {
-      arrays.push_back(JobName(i));
-      cluster->spread_s = 40;  // a later task runs so much longer
-      cluster->run_s = 2;
+      arrays.push_back(JobId(i));
+      cluster->run_spread_s = 40;  // a later task runs so much longer
+      cluster->array_run_s = 2;
       cluster->Submit(cluster->Array(arrays.back(), 2 + static_cast<uint32_t>(i) % 2));
     }
     for (int change = 0; change < 4; ++change) {
@@ -48,7 +48,7 @@
       cluster->Run(2);
       cluster->Boot(leader);
     }
-    ExpectServed(cluster.get(), arrays, 150, seed);
+    ExpectArraysDone(cluster.get(), arrays, 150, seed);
   }
 }
 
@@ -63,22 +63,23 @@
 TEST_P(GapTest, WhatTheNextLeaderConfirmedIsGoneInTime) {
   for (uint64_t seed = 1; seed <= 4; ++seed) {
     const Gap gap = GetParam();
-    auto cluster = AtWork(seed);
+    auto cluster = StartClusterWithJobs(seed);
     const size_t old_leader = cluster->Leader();
-    const std::string name = Name(old_leader);
+    const std::string name = NodeLabel(old_leader);
     const double outage = cluster->settings.cancel_s + 20;
-    cluster->Cut(name, "state", gap.refused_s, CutMode::kRefuse);
+    cluster->Partition(name, "state", gap.refused_s, PartitionMode::kRefuse);
     if (gap.without_peers) {
-      CutFromPeers(cluster.get(), old_leader, 3, outage, CutMode::kHold);
+      PartitionFromPeers(cluster.get(), old_leader, 3, outage, PartitionMode::kDelay);
       // Half of the machines are connected to the old leader only.
       for (const char* machine : {"m-1", "m-2", "m-3"}) {
         for (size_t i = 0; i < 3; ++i) {
-          if (i != old_leader) cluster->Cut(machine, Name(i), outage, CutMode::kHold);
+          if (i != old_leader)
+            cluster->Partition(machine, NodeLabel(i), outage, PartitionMode::kDelay);
         }
       }
       // The others, which will have a higher fencing token, are partitioned from it.
       for (const char* machine : {"m-4", "m-5", "m-6"}) {
-        cluster->Cut(machine, name, outage, CutMode::kHold);
+        cluster->Partition(machine, name, outage, PartitionMode::kDelay);
       }
     }
     // Cancelled through the next leader: the old one would stop the tasks of jobs cancelled there.
@@ -102,8 +103,8 @@
       EXPECT_FALSE(cluster->node(old_leader)->election().HoldsKey());
     }
     cluster->Run(outage + 120);
-    EXPECT_EQ(cluster->Broken(), "") << "seed " << seed;
-    EXPECT_EQ(cluster->On("job-1") + cluster->On("job-2"), 0U);
+    EXPECT_EQ(cluster->Violations(), "") << "seed " << seed;
+    EXPECT_EQ(cluster->ActiveTasks("job-1") + cluster->ActiveTasks("job-2"), 0U);
   }
 }
 
@@ -114,11 +115,11 @@
 
 TEST(Meeting, JobsBoundToOneZoneLoseMachines) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    auto cluster = Started(seed, 3, 6);
-    cluster->run_s = 15;
+    auto cluster = StartCluster(seed, 3, 6);
+    cluster->array_run_s = 15;
     std::vector<std::string> arrays;
     for (int i = 1; i <= 6; ++i) {
-      JobSpec spec = cluster->Array(JobName(i), 4);
+      JobSpec spec = cluster->Array(JobId(i), 4);
       spec.zone = i % 3 == 0 ? "east" : "";
       spec.single_zone = i % 3 == 1;
       spec.anti_affinity = i % 3 == 2;
@@ -127,20 +128,20 @@
     }
     cluster->Run(5);
     // Three at once, some of them in the bound zone, and replacements.
-    for (const char* name : {"m-1", "m-2", "m-3"}) cluster->Die(name);
+    for (const char* name : {"m-1", "m-2", "m-3"}) cluster->KillMachine(name);
     cluster->Run(3);
     for (const char* zone : {"east", "west", "east"}) cluster->AddWorker(zone);
-    cluster->oracle->TroubleUntil(cluster->now());
-    ExpectServed(cluster.get(), arrays, 200, seed);
+    cluster->oracle->SuspendLivenessChecksUntil(cluster->now());
+    ExpectArraysDone(cluster.get(), arrays, 200, seed);
   }
 }
 
 TEST(Meeting, ALeaderCutFromStateServiceAndPeersStillHasWorkersAndUsers) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    auto cluster = AtWork(seed);
+    auto cluster = StartClusterWithJobs(seed);
     const size_t old_leader = cluster->Leader();
-    cluster->Cut(Name(old_leader), "state", 60, CutMode::kHold);
-    CutFromPeers(cluster.get(), old_leader, 3, 60, CutMode::kHold);
+    cluster->Partition(NodeLabel(old_leader), "state", 60, PartitionMode::kDelay);
+    PartitionFromPeers(cluster.get(), old_leader, 3, 60, PartitionMode::kDelay);
     ASSERT_TRUE(cluster->RunUntil(
         [&] { return cluster->Leader() != SIZE_MAX && cluster->Leader() != old_leader; }, 10));
     cluster->Cancel("job-1");
@@ -148,14 +149,14 @@
     ASSERT_TRUE(cluster->RunUntil(
         [&] { return cluster->Cancelled("job-1") && cluster->Cancelled("job-2"); }, 60));
     cluster->Run(cluster->settings.cancel_s + 30);
-    EXPECT_EQ(cluster->On("job-1") + cluster->On("job-2"), 0U);
-    EXPECT_EQ(cluster->Broken(), "") << "seed " << seed;
+    EXPECT_EQ(cluster->ActiveTasks("job-1") + cluster->ActiveTasks("job-2"), 0U);
+    EXPECT_EQ(cluster->Violations(), "") << "seed " << seed;
   }
 }
 
 TEST(Meeting, TenTermsInTwoMinutesAlsoInsideAnOutage) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    auto cluster = AtWork(seed);
+    auto cluster = StartClusterWithJobs(seed);
     cluster->Submit(cluster->Array("job-3", 4));
     for (int term = 0; term < 10; ++term) {
       if (term == 5) cluster->StateOutage(25);
@@ -165,33 +166,33 @@
       BootAll(cluster.get());
       cluster->Run(8);
     }
-    ExpectServed(cluster.get(), {"job-3"}, 120, seed);
-    EXPECT_EQ(cluster->On("job-1"), 3U);
+    ExpectArraysDone(cluster.get(), {"job-3"}, 120, seed);
+    EXPECT_EQ(cluster->ActiveTasks("job-1"), 3U);
   }
 }
 
 TEST(Meeting, ACancellationAQuestionAndARepeatMeetTheEndOfTheLastTask) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    auto cluster = Started(seed, 3, 6);
-    cluster->rentable = 20;  // idle machines are returned meanwhile
-    cluster->run_s = 3;
+    auto cluster = StartCluster(seed, 3, 6);
+    cluster->available_machines = 20;  // idle machines are returned meanwhile
+    cluster->array_run_s = 3;
     for (int i = 1; i <= 12; ++i) {
-      const std::string id = JobName(i);
+      const std::string id = JobId(i);
       cluster->Submit(cluster->Array(id, 1));
-      ASSERT_TRUE(cluster->RunUntil([&] { return cluster->On(id) == 1; }, 90));
+      ASSERT_TRUE(cluster->RunUntil([&] { return cluster->ActiveTasks(id) == 1; }, 90));
       // From well before its end to well after it.
       cluster->Run(2.4 + 0.1 * i);
       cluster->Cancel(id);
-      cluster->AskOnce(JobOperation::kGet, id);
-      cluster->AskOnce(JobOperation::kSubmit, id);
+      cluster->SendRequestOnce(JobOperation::kGet, id);
+      cluster->SendRequestOnce(JobOperation::kSubmit, id);
       cluster->Run(1);
-      cluster->AskOnce(JobOperation::kGet, id);
+      cluster->SendRequestOnce(JobOperation::kGet, id);
     }
     cluster->Run(30);
-    EXPECT_EQ(cluster->Broken(), "") << "seed " << seed;
+    EXPECT_EQ(cluster->Violations(), "") << "seed " << seed;
     for (int i = 1; i <= 12; ++i) {
-      const std::string id = JobName(i);
-      EXPECT_NE(cluster->ToldDone(id), cluster->Cancelled(id)) << id;
+      const std::string id = JobId(i);
+      EXPECT_NE(cluster->ReportedDone(id), cluster->Cancelled(id)) << id;
     }
   }
 }
@@ -199,7 +200,7 @@
 TEST(Meeting, AZoneWithWorkersAndAControllerIsCutOffBeyondTheLease) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     for (const bool with_leader : {true, false}) {
-      auto cluster = AtWork(seed);
+      auto cluster = StartClusterWithJobs(seed);
       // Node 2 is in a zone without machines.
       while (cluster->Leader() > 1) {
         cluster->Crash(2);
@@ -208,78 +209,80 @@
         cluster->Run(6);
       }
       const size_t inside = with_leader ? cluster->Leader() : 1 - cluster->Leader();
-      cluster->CutZone(cluster->settings.zones[inside],
-                       cluster->settings.lease_s + cluster->settings.cancel_s, CutMode::kHold);
+      cluster->PartitionZone(cluster->settings.zones[inside],
+                             cluster->settings.lease_s + cluster->settings.cancel_s,
+                             PartitionMode::kDelay);
       cluster->Run(3);
       cluster->Cancel("job-2");
       cluster->Run(150);
       EXPECT_TRUE(cluster->Cancelled("job-2"));
-      EXPECT_EQ(cluster->On("job-2"), 0U);
-      EXPECT_EQ(cluster->On("job-1"), 3U);
-      EXPECT_EQ(cluster->Broken(), "") << "seed " << seed;
+      EXPECT_EQ(cluster->ActiveTasks("job-2"), 0U);
+      EXPECT_EQ(cluster->ActiveTasks("job-1"), 3U);
+      EXPECT_EQ(cluster->Violations(), "") << "seed " << seed;
     }
   }
 }
 
 TEST(Meeting, OldReportsArriveAfterNewerOnesAlsoOfEarlierSessionsAndAttempts) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    auto cluster = AtWork(seed);
+    auto cluster = StartClusterWithJobs(seed);
     for (const auto& [name, w] : cluster->workers)
-      cluster->ReplayReports(name, 3 + static_cast<double>(seed));
+      cluster->ReplayHeartbeats(name, 3 + static_cast<double>(seed));
     // An agent starts a new epoch while its old heartbeats are in flight.
     cluster->Hang("m-1", cluster->settings.lease_s + 5);
-    cluster->ReplayReports("m-1", cluster->settings.lease_s + 8);
+    cluster->ReplayHeartbeats("m-1", cluster->settings.lease_s + 8);
     cluster->Run(5);
     cluster->Crash(cluster->Leader());
-    for (const auto& [name, w] : cluster->workers) cluster->ReplayReports(name, 1.3);
+    for (const auto& [name, w] : cluster->workers) cluster->ReplayHeartbeats(name, 1.3);
     cluster->Run(30);
     BootAll(cluster.get());
     cluster->Cancel("job-2");
-    for (const auto& [name, w] : cluster->workers) cluster->ReplayReports(name, 15);
+    for (const auto& [name, w] : cluster->workers) cluster->ReplayHeartbeats(name, 15);
     cluster->Run(100);
-    EXPECT_EQ(cluster->On("job-2"), 0U);
-    EXPECT_EQ(cluster->On("job-1"), 3U);
-    EXPECT_EQ(cluster->Broken(), "") << "seed " << seed;
+    EXPECT_EQ(cluster->ActiveTasks("job-2"), 0U);
+    EXPECT_EQ(cluster->ActiveTasks("job-1"), 3U);
+    EXPECT_EQ(cluster->Violations(), "") << "seed " << seed;
   }
 }
 
 TEST(Meeting, AllControllersAreAwayBeyondTheLease) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    auto cluster = AtWork(seed);
+    auto cluster = StartClusterWithJobs(seed);
     cluster->Submit(cluster->Array("job-3", 4));
     cluster->Run(1);
-    cluster->oracle->TroubleUntil(cluster->now() + cluster->settings.lease_s + 5);
+    cluster->oracle->SuspendLivenessChecksUntil(cluster->now() + cluster->settings.lease_s + 5);
     for (size_t i = 0; i < 3; ++i) cluster->Crash(i);
     cluster->Run(cluster->settings.lease_s + 5);
-    EXPECT_EQ(cluster->On("job-1"), 0U);
+    EXPECT_EQ(cluster->ActiveTasks("job-1"), 0U);
     BootAll(cluster.get());
-    ExpectServed(cluster.get(), {"job-3"}, 90, seed);
-    EXPECT_EQ(cluster->On("job-1"), 3U);
+    ExpectArraysDone(cluster.get(), {"job-3"}, 90, seed);
+    EXPECT_EQ(cluster->ActiveTasks("job-1"), 3U);
   }
 }
 
 TEST(Meeting, JobsAreCancelledAsTheStateServiceRefusesTheLeaderAndASecondLaterItIsOut) {
   for (uint64_t seed = 1; seed <= 4 * kSeeds; ++seed) {
-    auto cluster = AtWork(seed);
+    auto cluster = StartClusterWithJobs(seed);
     const size_t old_leader = cluster->Leader();
     cluster->Cancel("job-2");
     cluster->Run(0.002 * static_cast<double>(seed % 4));
-    cluster->Cut(Name(old_leader), "state", 14, CutMode::kRefuse);
+    cluster->Partition(NodeLabel(old_leader), "state", 14, PartitionMode::kRefuse);
     cluster->Cancel("job-1");
     cluster->Run(0.8 + 0.1 * static_cast<double>(seed % 6));
     cluster->StateOutage(cluster->settings.cancel_s + 15);
     cluster->Run(cluster->settings.cancel_s + 120);
-    EXPECT_EQ(cluster->On("job-1") + cluster->On("job-2"), 0U);
-    EXPECT_EQ(cluster->Broken(), "") << "seed " << seed;
+    EXPECT_EQ(cluster->ActiveTasks("job-1") + cluster->ActiveTasks("job-2"), 0U);
+    EXPECT_EQ(cluster->Violations(), "") << "seed " << seed;
   }
 }
 
 TEST(Meeting, AReportHeldBackReachesTheNextLeaderAfterItActed) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    auto cluster = AtWork(seed);
+    auto cluster = StartClusterWithJobs(seed);
     const std::string machine = cluster->MachineOf("job-2/0");
     // Heartbeats and responses of that machine are held back; the next leader declares it dead.
-    for (size_t i = 0; i < 3; ++i) cluster->CutOneWay(machine, Name(i), 30, CutMode::kHold);
+    for (size_t i = 0; i < 3; ++i)
+      cluster->PartitionOneWay(machine, NodeLabel(i), 30, PartitionMode::kDelay);
     cluster->Run(3);
     cluster->Crash(cluster->Leader());
     cluster->Run(12);
@@ -287,25 +290,25 @@
     cluster->Run(20);
     BootAll(cluster.get());
     cluster->Run(90);
-    EXPECT_EQ(cluster->On("job-2"), 0U);
-    EXPECT_EQ(cluster->Broken(), "") << "seed " << seed;
+    EXPECT_EQ(cluster->ActiveTasks("job-2"), 0U);
+    EXPECT_EQ(cluster->Violations(), "") << "seed " << seed;
   }
 }
 
 TEST(Meeting, ACommandOrItsAnswerIsHeldUpForSecondsAndTheMachineGoesOn) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    auto cluster = Started(seed, 3, 4);
-    cluster->run_s = 25;
+    auto cluster = StartCluster(seed, 3, 4);
+    cluster->array_run_s = 25;
     std::vector<std::string> arrays;
     for (int i = 1; i <= 6; ++i) {
-      const std::string leader = Name(cluster->Leader() == SIZE_MAX ? 0 : cluster->Leader());
+      const std::string leader = NodeLabel(cluster->Leader() == SIZE_MAX ? 0 : cluster->Leader());
       const std::string machine = "m-" + std::to_string(1 + i % 4);
       if (i % 2 == 0) {
-        cluster->CutOneWay(leader, machine, 4, CutMode::kHold);
+        cluster->PartitionOneWay(leader, machine, 4, PartitionMode::kDelay);
       } else {
-        cluster->CutOneWay(machine, leader, 4, CutMode::kHold);
+        cluster->PartitionOneWay(machine, leader, 4, PartitionMode::kDelay);
       }
-      const std::string id = JobName(i);
+      const std::string id = JobId(i);
       cluster->Submit(cluster->Array(id, 3));
       cluster->Run(1 + static_cast<double>(seed) / 4);
       if (i % 3 == 0) {
@@ -315,18 +318,18 @@
       }
       cluster->Run(4);
     }
-    ExpectServed(cluster.get(), arrays, 150, seed);
+    ExpectArraysDone(cluster.get(), arrays, 150, seed);
   }
 }
 
 TEST(Meeting, ATransactionWithoutAnswerIsCarriedOutAfterNewerOnes) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    auto cluster = Started(seed, 3, 6);
-    cluster->late_writes = 0.3;
-    cluster->run_s = 4;
+    auto cluster = StartCluster(seed, 3, 6);
+    cluster->delayed_commit_share = 0.3;
+    cluster->array_run_s = 4;
     std::vector<std::string> arrays;
     for (int i = 1; i <= 20; ++i) {
-      const std::string id = JobName(i);
+      const std::string id = JobId(i);
       cluster->Submit(cluster->Array(id, 2));
       if (i % 5 == 0) {
         cluster->Cancel(id);
@@ -341,14 +344,14 @@
         cluster->Boot(leader);
       }
     }
-    cluster->late_writes = 0;
-    ExpectServed(cluster.get(), arrays, 150, seed);
+    cluster->delayed_commit_share = 0;
+    ExpectArraysDone(cluster.get(), arrays, 150, seed);
   }
 }
 
 TEST(Meeting, HandsOverAndBackAllEndAndOneReturnsWithinASecond) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    auto cluster = AtWork(seed);
+    auto cluster = StartClusterWithJobs(seed);
     cluster->Submit(cluster->Array("job-3", 4));
     for (int i = 0; i < 8; ++i) {
       const size_t leader = cluster->Leader();
@@ -363,39 +366,39 @@
     cluster->Run(20);
     EXPECT_EQ(cluster->Leader(), seed % 3);
     BootAll(cluster.get());
-    ExpectServed(cluster.get(), {"job-3"}, 60, seed);
-    EXPECT_EQ(cluster->On("job-1"), 3U);
+    ExpectArraysDone(cluster.get(), {"job-3"}, 60, seed);
+    EXPECT_EQ(cluster->ActiveTasks("job-1"), 3U);
   }
 }
 
 TEST(Meeting, WorkersReachNoControllerWhileDirectCommandsReachThem) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    auto cluster = AtWork(seed);
+    auto cluster = StartClusterWithJobs(seed);
     const double mute = cluster->settings.lease_s + 12;
-    for (const auto& [name, w] : cluster->workers) cluster->Mute(name, mute);
+    for (const auto& [name, w] : cluster->workers) cluster->LoseHeartbeats(name, mute);
     cluster->Run(4);
     cluster->Cancel("job-2");
     cluster->Submit(cluster->Array("job-3", 2));
     cluster->Run(mute);
-    ExpectServed(cluster.get(), {"job-3"}, 120, seed);
-    EXPECT_EQ(cluster->On("job-2"), 0U);
-    EXPECT_EQ(cluster->On("job-1"), 3U);
+    ExpectArraysDone(cluster.get(), {"job-3"}, 120, seed);
+    EXPECT_EQ(cluster->ActiveTasks("job-2"), 0U);
+    EXPECT_EQ(cluster->ActiveTasks("job-1"), 3U);
   }
 }
 
 TEST(Meeting, ATeamAtItsLimitChangesLeaderWhileMachinesCanNotBeAsked) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    auto cluster = Started(seed, 3, 6);
-    cluster->run_s = 40;
+    auto cluster = StartCluster(seed, 3, 6);
+    cluster->array_run_s = 40;
     cluster->Submit(cluster->Array("job-1", 12));  // all that the team may use
     cluster->Submit(cluster->Array("job-2", 6));   // waits for the limit
-    ASSERT_TRUE(
-        cluster->RunUntil([&] { return cluster->On("job-1") + cluster->On("job-2") == 12; }, 30));
+    ASSERT_TRUE(cluster->RunUntil(
+        [&] { return cluster->ActiveTasks("job-1") + cluster->ActiveTasks("job-2") == 12; }, 30));
     // The cloud can't return them, so their tasks stay unreconciled for a while.
-    cluster->cloud_out = true;
+    cluster->cloud_unavailable = true;
     for (int i = 1; i <= 3; ++i) {
       for (size_t n = 0; n < 3; ++n)
-        cluster->Cut("m-" + std::to_string(i), Name(n), 25, CutMode::kHold);
+        cluster->Partition("m-" + std::to_string(i), NodeLabel(n), 25, PartitionMode::kDelay);
     }
     cluster->Run(1);
     const size_t leader = cluster->Leader();
@@ -405,15 +408,15 @@
     cluster->Run(8);
     cluster->Boot(leader);
     cluster->Run(20);
-    cluster->cloud_out = false;
-    cluster->run_s = 5;
-    ExpectServed(cluster.get(), {"job-2"}, 150, seed);
+    cluster->cloud_unavailable = false;
+    cluster->array_run_s = 5;
+    ExpectArraysDone(cluster.get(), {"job-2"}, 150, seed);
   }
 }
 
 // Not a combination of the list, but an overload that could starve everything else.
 TEST(Storm, OfQuestionsLeavesRoomForSubmissionsAndReports) {
-  auto cluster = AtWork(1);
+  auto cluster = StartClusterWithJobs(1);
   for (size_t node = 0; node < 3; ++node) {
     const double rate = StatusRequestsPerSecond(cluster->settings, cluster->tuning);
     size_t answered = 0;
@@ -437,18 +440,19 @@
         cluster->RunUntil([&] { return cluster->Accepted("job-3" + std::to_string(node)); }, 2));
   }
   cluster->Run(cluster->settings.lease_s + 5);
-  EXPECT_EQ(cluster->On("job-1"), 3U);
-  EXPECT_EQ(cluster->Broken(), "");
+  EXPECT_EQ(cluster->ActiveTasks("job-1"), 3U);
+  EXPECT_EQ(cluster->Violations(), "");
 }
 
 TEST(Meeting, ALeaderEndsWhileMachinesWithLongTasksCanNotBeReachedOrDoNotHear) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    auto cluster = AtWork(seed);
+    auto cluster = StartClusterWithJobs(seed);
     const double spell = cluster->settings.lease_s + 15;
-    cluster->Deaf("m-1", spell);
-    cluster->Deaf("m-2", spell);
+    cluster->MakeOneWayReachable("m-1", spell);
+    cluster->MakeOneWayReachable("m-2", spell);
     cluster->Hang("m-3", cluster->settings.lease_s - 3);
-    for (size_t n = 0; n < 3; ++n) cluster->Cut("m-4", Name(n), spell, CutMode::kHold);
+    for (size_t n = 0; n < 3; ++n)
+      cluster->Partition("m-4", NodeLabel(n), spell, PartitionMode::kDelay);
     cluster->Run(0.2);
     const size_t leader = cluster->Leader();
     cluster->Crash(leader);
@@ -459,9 +463,9 @@
     cluster->AddWorker("east");
     cluster->AddWorker("west");
     cluster->Run(60);
-    EXPECT_EQ(cluster->On("job-2"), 0U);
-    EXPECT_EQ(cluster->On("job-1"), 3U);
-    EXPECT_EQ(cluster->Broken(), "") << "seed " << seed;
+    EXPECT_EQ(cluster->ActiveTasks("job-2"), 0U);
+    EXPECT_EQ(cluster->ActiveTasks("job-1"), 3U);
+    EXPECT_EQ(cluster->Violations(), "") << "seed " << seed;
   }
 }
 
--- a/tests/mix_test.cc
+++ b/tests/mix_test.cc
@@ -22,9 +22,9 @@
     // Sometimes so many that a zone is told to be cut off.
     const int machines = Chance(0.3) ? 24 : 8;
     for (int i = 0; i < machines; ++i) c_.AddWorker(kZones[i % 3], i % 4 == 3);
-    if (Chance(0.5)) c_.rentable = 20;
-    if (Chance(0.3)) c_.late_writes = 0.1;
-    if (Chance(0.3)) c_.slow_state_s = 0.3;
+    if (Chance(0.5)) c_.available_machines = 20;
+    if (Chance(0.3)) c_.delayed_commit_share = 0.1;
+    if (Chance(0.3)) c_.state_delay_s = 0.3;
     c_.Run(8);
     for (int i = 0; i < 4; ++i) NewJob();
     for (int i = 0; i < 30; ++i) {
@@ -35,25 +35,25 @@
       if (Chance(0.3) && !jobs_.empty()) c_.Cancel(Any(jobs_));
       if (Chance(0.3) && !jobs_.empty()) {
         const std::string id = Any(jobs_);
-        if (c_.Accepted(id)) c_.AskOnce(JobOperation::kSubmit, id);
+        if (c_.Accepted(id)) c_.SendRequestOnce(JobOperation::kSubmit, id);
       }
-      if (Chance(0.1)) c_.SubmitHopeless("job-9" + std::to_string(i));
-      if (Chance(0.1)) c_.AskOnce(JobOperation::kGet, "job-8" + std::to_string(i));
+      if (Chance(0.1)) c_.SubmitUnplaceable("job-9" + std::to_string(i));
+      if (Chance(0.1)) c_.SendRequestOnce(JobOperation::kGet, "job-8" + std::to_string(i));
       Trouble();
     }
-    c_.late_writes = 0;
-    c_.late_commands = 0;
-    c_.lost_answers = 0;
-    c_.slow_state_s = 0;
-    c_.cloud_out = false;
+    c_.delayed_commit_share = 0;
+    c_.delayed_command_share = 0;
+    c_.lost_response_share = 0;
+    c_.state_delay_s = 0;
+    c_.cloud_unavailable = false;
     for (size_t i = 0; i < nodes_; ++i) c_.Boot(i);
     // Machines that were given up are replaced by new ones.
     for (int i = 0; i < 4; ++i) c_.AddWorker(kZones[i % 3]);
-    c_.oracle->TroubleUntil(c_.now() + 1);
+    c_.oracle->SuspendLivenessChecksUntil(c_.now() + 1);
     c_.Run(60);
-    c_.run_s = 3;
+    c_.array_run_s = 3;
     c_.Run(240);
-    return c_.Broken();
+    return c_.Violations();
   }
   size_t Starts() const { return c_.oracle->starts(); }
 
@@ -112,12 +112,13 @@
       s.task_count = std::min<uint32_t>(s.task_count, 4);
     }
     jobs_.push_back(id);
-    c_.run_s = Between(2, 60);
+    c_.array_run_s = Between(2, 60);
     c_.Submit(s);
   }
 
-  CutMode Mode() {
-    const CutMode modes[] = {CutMode::kHold, CutMode::kDrop, CutMode::kRefuse};
+  PartitionMode Mode() {
+    const PartitionMode modes[] = {PartitionMode::kDelay, PartitionMode::kDrop,
+                                   PartitionMode::kRefuse};
     return modes[Index(3)];
   }
 
@@ -130,19 +131,19 @@
     spdlog::debug("TROUBLE {} kind {} node {} for {} s", c_.now(), kind, node, for_s);
     switch (kind) {
       case 0:
-        c_.Cut(node, "state", for_s, CutMode::kRefuse);
+        c_.Partition(node, "state", for_s, PartitionMode::kRefuse);
         break;
       case 1:
         c_.StateOutage(for_s);
         break;
       case 2:
-        c_.Cut(node, "state", for_s, Mode());
+        c_.Partition(node, "state", for_s, Mode());
         for (size_t i = 0; i < nodes_; ++i) {
-          if (i != at) c_.Cut(node, "n" + std::to_string(i), for_s, Mode());
+          if (i != at) c_.Partition(node, "n" + std::to_string(i), for_s, Mode());
         }
         break;
       case 3:
-        c_.Cut(node, "workers", for_s, Mode());
+        c_.Partition(node, "workers", for_s, Mode());
         break;
       case 4:
       case 5:
@@ -157,19 +158,19 @@
         c_.Hang(Machine(), for_s);
         break;
       case 8:
-        c_.Deaf(Machine(), for_s);
+        c_.MakeOneWayReachable(Machine(), for_s);
         break;
       case 9:
-        c_.Mute(Machine(), for_s);
+        c_.LoseHeartbeats(Machine(), for_s);
         break;
       case 10:
-        c_.ReplayReports(Machine(), Chance(0.5) ? 0.01 : Between(1, 30));
+        c_.ReplayHeartbeats(Machine(), Chance(0.5) ? 0.01 : Between(1, 30));
         break;
       case 11:
-        c_.Cut(node, Machine(), for_s, Mode());
+        c_.Partition(node, Machine(), for_s, Mode());
         break;
       case 12:
-        c_.cloud_out = !c_.cloud_out;
+        c_.cloud_unavailable = !c_.cloud_unavailable;
         break;
       case 13:
         for (size_t i = 0; i < nodes_; ++i) c_.Crash(i);
@@ -177,7 +178,7 @@
         for (size_t i = 0; i < nodes_; ++i) c_.Boot(i);
         break;
       case 14:
-        c_.Cut(node, "state", Between(1, 14), CutMode::kRefuse);
+        c_.Partition(node, "state", Between(1, 14), PartitionMode::kRefuse);
         c_.Run(Between(0.2, 3));
         if (!jobs_.empty()) c_.Cancel(Any(jobs_));
         c_.Run(Between(0.1, 1));
@@ -194,21 +195,22 @@
         break;
       case 17:
       case 18:
-        c_.CutZone(kZones[Index(3)], for_s, Chance(0.7) ? CutMode::kHold : CutMode::kDrop);
+        c_.PartitionZone(kZones[Index(3)], for_s,
+                         Chance(0.7) ? PartitionMode::kDelay : PartitionMode::kDrop);
         break;
       case 20:
-        c_.late_commands = Chance(0.5) ? Between(0.1, 0.6) : 0;
+        c_.delayed_command_share = Chance(0.5) ? Between(0.1, 0.6) : 0;
         break;
       case 21:
-        c_.lost_answers = Chance(0.5) ? Between(0.05, 0.4) : 0;
+        c_.lost_response_share = Chance(0.5) ? Between(0.05, 0.4) : 0;
         break;
       case 16:
         for (const auto& [name, w] : c_.workers) {
-          if (Chance(0.4)) c_.Mute(name, for_s);
+          if (Chance(0.4)) c_.LoseHeartbeats(name, for_s);
         }
         break;
       default:
-        c_.CutOneWay(node, Machine(), for_s, Mode());
+        c_.PartitionOneWay(node, Machine(), for_s, Mode());
         break;
     }
   }
--- a/tests/placer_test.cc
+++ b/tests/placer_test.cc
@@ -7,62 +7,62 @@
 namespace {
 
 TEST(Placer, KeepsTheTeamsLimit) {
-  World w;
-  w.Lead();
-  auto& a = w.Machine("m-1", "east");
-  auto& b = w.Machine("m-2", "west");
-  auto& c = w.Machine("m-3", "west");
+  LeaderTestEnvironment w;
+  w.StartLeader();
+  auto& a = w.AddMachine("m-1", "east");
+  auto& b = w.AddMachine("m-2", "west");
+  auto& c = w.AddMachine("m-3", "west");
   w.Submit(w.Array("job-1", 12));  // 24 cores, 16 allowed
-  w.Pass(3);
-  EXPECT_EQ(a.started.size() + b.started.size() + c.started.size(), 8U);
+  w.AdvanceTime(3);
+  EXPECT_EQ(a.started_tasks.size() + b.started_tasks.size() + c.started_tasks.size(), 8U);
 }
 
 TEST(Placer, KeepsTasksApartAndTogether) {
-  World w;
-  w.Lead();
-  auto& a = w.Machine("m-1", "east");
-  auto& b = w.Machine("m-2", "west");
+  LeaderTestEnvironment w;
+  w.StartLeader();
+  auto& a = w.AddMachine("m-1", "east");
+  auto& b = w.AddMachine("m-2", "west");
   JobSpec apart = w.Service("job-1", 3);
   apart.anti_affinity = true;
   w.Submit(apart);
-  w.Pass(1);
-  EXPECT_EQ(a.started.size() + b.started.size(), 3U);
-  EXPECT_LE(std::max(a.started.size(), b.started.size()), 2U);
+  w.AdvanceTime(1);
+  EXPECT_EQ(a.started_tasks.size() + b.started_tasks.size(), 3U);
+  EXPECT_LE(std::max(a.started_tasks.size(), b.started_tasks.size()), 2U);
   JobSpec one = w.Service("job-2", 3, 1);
   one.single_zone = true;
   w.Submit(one);
-  w.Pass(1);
-  const auto on_a = std::count_if(a.started.begin(), a.started.end(),
+  w.AdvanceTime(1);
+  const auto on_a = std::count_if(a.started_tasks.begin(), a.started_tasks.end(),
                                   [](const std::string& s) { return s.starts_with("job-2"); });
   EXPECT_TRUE(on_a == 0 || on_a == 3);
 }
 
 TEST(Placer, SpotMachinesTakeOnlyJobsThatAllowThem) {
-  World w;
-  w.Lead();
-  auto& a = w.Machine("m-1", "east", true);
+  LeaderTestEnvironment w;
+  w.StartLeader();
+  auto& a = w.AddMachine("m-1", "east", true);
   w.Submit(w.Service("job-1", 1));
-  w.Pass(2);
-  EXPECT_TRUE(a.started.empty());
+  w.AdvanceTime(2);
+  EXPECT_TRUE(a.started_tasks.empty());
 }
 
 TEST(Placer, AServiceStopsAnArrayForRoomAndAnArrayNeverAService) {
-  World w;
+  LeaderTestEnvironment w;
   w.settings.teams = {{"blue", 0, 0, 0, 0}};
-  w.cloud.refuse = true;
-  w.Lead();
-  auto& a = w.Machine("m-1", "east");
+  w.cloud.out_of_capacity = true;
+  w.StartLeader();
+  auto& a = w.AddMachine("m-1", "east");
   w.Submit(w.Array("job-1", 4));
-  w.Pass(1);
-  ASSERT_EQ(a.started.size(), 4U);
+  w.AdvanceTime(1);
+  ASSERT_EQ(a.started_tasks.size(), 4U);
   w.Submit(w.Service("job-2", 1));
-  w.Pass(2);
-  EXPECT_TRUE(a.Has("job-2/0"));
+  w.AdvanceTime(2);
+  EXPECT_TRUE(a.HasTask("job-2/0"));
   JobSpec urgent = w.Array("job-3", 4);
   urgent.priority = Priority::kUrgent;
   w.Submit(urgent);
-  w.Pass(2);
-  EXPECT_TRUE(a.Has("job-2/0"));
+  w.AdvanceTime(2);
+  EXPECT_TRUE(a.HasTask("job-2/0"));
 }
 
 // Found on the fleet's zone day: with many services to bring back at once, those that one
@@ -70,84 +70,84 @@
 // Found by drawn meetings of troubles: with nothing more to be rented, an array waited for
 // ever beside machines with room, kept for replicas that never came.
 TEST(Placer, RoomKeptForReplicasIsLentToWhatWaitsTooLong) {
-  World w;
-  w.cloud.refuse = true;
+  LeaderTestEnvironment w;
+  w.cloud.out_of_capacity = true;
   w.tuning.headroom_machines = 2;
   w.tuning.headroom_reserved_share = 1;
-  w.Lead();
-  auto& a = w.Machine("m-1", "east");
-  auto& b = w.Machine("m-2", "west");
+  w.StartLeader();
+  auto& a = w.AddMachine("m-1", "east");
+  auto& b = w.AddMachine("m-2", "west");
   w.Submit(w.Service("job-1", 1, 6));
-  w.Pass(1);
+  w.AdvanceTime(1);
   w.Submit(w.Array("job-2", 1, 4));
-  w.Pass(w.tuning.starvation_s / 2 - 5);
-  EXPECT_FALSE(a.Has("job-2/0") || b.Has("job-2/0"));
-  w.Pass(10);
-  EXPECT_TRUE(a.Has("job-2/0") || b.Has("job-2/0"));
+  w.AdvanceTime(w.tuning.starvation_s / 2 - 5);
+  EXPECT_FALSE(a.HasTask("job-2/0") || b.HasTask("job-2/0"));
+  w.AdvanceTime(10);
+  EXPECT_TRUE(a.HasTask("job-2/0") || b.HasTask("job-2/0"));
   // It gives way as soon as a replica needs the room.
   w.Submit(w.Service("job-3", 1, 6));
-  w.Pass(6);
-  EXPECT_TRUE(a.Has("job-3/0") || b.Has("job-3/0"));
+  w.AdvanceTime(6);
+  EXPECT_TRUE(a.HasTask("job-3/0") || b.HasTask("job-3/0"));
 }
 
 // Found by a hunt on a small, crowded fleet: what went first for having been passed over was
 // stopped for a guarantee two seconds later, its place went to the next one passed over, and
 // hardly anything ended (827 stops a day, 693 tasks done).
 TEST(Placer, WhatWentFirstOnceIsNotStoppedForAGuarantee) {
-  World w;
-  w.cloud.refuse = true;
+  LeaderTestEnvironment w;
+  w.cloud.out_of_capacity = true;
   w.tuning.starvation_s = 10;
   w.tuning.preempt_after_s = 1;
-  w.Lead();
-  auto& a = w.Machine("m-1", "east");
+  w.StartLeader();
+  auto& a = w.AddMachine("m-1", "east");
   JobSpec filler = w.Array("job-1", 1);
   JobSpec passed = w.Array("job-2", 3);
   filler.team = passed.team = "red";
   w.Submit(w.Array("job-3", 3));  // of blue, within its guarantee
   w.Submit(filler);
-  w.Pass(1);
-  ASSERT_EQ(a.started.size(), 4U);  // full
+  w.AdvanceTime(1);
+  ASSERT_EQ(a.started_tasks.size(), 4U);  // full
   w.Submit(passed);
-  w.Pass(12);
+  w.AdvanceTime(12);
   w.Submit(w.Array("job-4", 1));  // of blue, the last that its guarantee covers
-  w.Pass(0.5);
-  a.End("job-1/0", ExitReason::kDone);
-  w.Pass(6);
-  EXPECT_EQ(a.Count("job-2"), 1U);
-  EXPECT_EQ(a.Count("job-4"), 0U);
+  w.AdvanceTime(0.5);
+  a.EndTask("job-1/0", ExitReason::kDone);
+  w.AdvanceTime(6);
+  EXPECT_EQ(a.ActiveTasks("job-2"), 1U);
+  EXPECT_EQ(a.ActiveTasks("job-4"), 0U);
   // Once only: the next place is the guaranteed job's again.
-  a.End("job-3/0", ExitReason::kDone);
-  w.Pass(2);
-  EXPECT_EQ(a.Count("job-4"), 1U);
-  EXPECT_EQ(a.Count("job-2"), 1U);
+  a.EndTask("job-3/0", ExitReason::kDone);
+  w.AdvanceTime(2);
+  EXPECT_EQ(a.ActiveTasks("job-4"), 1U);
+  EXPECT_EQ(a.ActiveTasks("job-2"), 1U);
 }
 
 TEST(Placer, ReplicasThatAPassDoesNotGetToWaitForTheNextOne) {
-  World w;
+  LeaderTestEnvironment w;
   w.settings.teams = {{"blue", 0, 0, 0, 0}};
   w.settings.max_sockets = 4000;
-  w.cloud.refuse = true;
+  w.cloud.out_of_capacity = true;
   w.cloud.types[0].fetch_gb_per_s = 0.05;
   w.tuning.headroom_share = w.tuning.headroom_machines = w.tuning.headroom_boots = 0;
-  w.Lead();
+  w.StartLeader();
   std::vector<FakeWorker*> with;
   with.reserve(10);
-  for (int i = 0; i < 10; ++i) with.push_back(&w.Machine("m-" + std::to_string(i), "east"));
+  for (int i = 0; i < 10; ++i) with.push_back(&w.AddMachine("m-" + std::to_string(i), "east"));
   JobSpec seed = w.Service("job-0", 10, 1);  // one on each: the image is there
   w.Submit(seed);
-  w.Pass(2);
+  w.AdvanceTime(2);
   w.Submit(w.Array("job-1", 70, 1));  // takes the rest
-  w.Pass(2);
+  w.AdvanceTime(2);
   std::vector<FakeWorker*> without;
   without.reserve(10);
-  for (int i = 0; i < 10; ++i) without.push_back(&w.Machine("m-1" + std::to_string(i), "east"));
-  w.state.refuse = true;  // all are accepted together
+  for (int i = 0; i < 10; ++i) without.push_back(&w.AddMachine("m-1" + std::to_string(i), "east"));
+  w.state.unavailable = true;  // all are accepted together
   for (int i = 0; i < 40; ++i) w.Submit(w.Service("job-2" + std::to_string(i), 1, 1));
-  w.state.refuse = false;
-  w.Pass(2);
+  w.state.unavailable = false;
+  w.AdvanceTime(2);
   size_t there = 0;
   for (const FakeWorker* m : with) {
-    for (const std::string& s : m->started) there += s.starts_with("job-2") ? 1 : 0;
+    for (const std::string& s : m->started_tasks) there += s.starts_with("job-2") ? 1 : 0;
   }
   EXPECT_EQ(there, 40U);
 }
@@ -155,127 +155,127 @@
 // Found on a grown deployment's steady day: an idle job ranked first was stopped for a
 // normal one, and placed again before it, 150 times.
 TEST(Placer, AJobIsNotStoppedForOneThatIsRankedBehindIt) {
-  World w;
+  LeaderTestEnvironment w;
   w.settings.teams = {{"blue", 100, 0, 0, 0}};
-  w.cloud.refuse = true;
-  w.Lead();
-  auto& a = w.Machine("m-1", "east");
+  w.cloud.out_of_capacity = true;
+  w.StartLeader();
+  auto& a = w.AddMachine("m-1", "east");
   JobSpec small = w.Array("job-1", 4);
   small.priority = Priority::kIdle;
   small.estimated_runtime_s = 5;
   w.Submit(small);
-  w.Pass(1);
+  w.AdvanceTime(1);
   JobSpec large = w.Array("job-2", 40);
   large.estimated_runtime_s = 500;
   w.Submit(large);
-  w.Pass(w.tuning.preempt_after_s + 3);
-  EXPECT_EQ(a.started.size(), 4U);
-  EXPECT_TRUE(a.Has("job-1/0"));
+  w.AdvanceTime(w.tuning.preempt_after_s + 3);
+  EXPECT_EQ(a.started_tasks.size(), 4U);
+  EXPECT_TRUE(a.HasTask("job-1/0"));
 }
 
 TEST(Placer, AGangStartsAsAWholeUnderOneAttempt) {
-  World w;
-  w.cloud.refuse = true;
-  w.Lead();
-  auto& a = w.Machine("m-1", "east");
+  LeaderTestEnvironment w;
+  w.cloud.out_of_capacity = true;
+  w.StartLeader();
+  auto& a = w.AddMachine("m-1", "east");
   JobSpec gang = w.Array("job-1", 6);
   gang.gang = true;
   w.Submit(gang);
-  w.Pass(2);
-  EXPECT_TRUE(a.started.empty());  // 12 cores, 8 there
-  auto& b = w.Machine("m-2", "east");
-  w.Pass(2);
-  EXPECT_EQ(a.started.size() + b.started.size(), 6U);
+  w.AdvanceTime(2);
+  EXPECT_TRUE(a.started_tasks.empty());  // 12 cores, 8 there
+  auto& b = w.AddMachine("m-2", "east");
+  w.AdvanceTime(2);
+  EXPECT_EQ(a.started_tasks.size() + b.started_tasks.size(), 6U);
   std::vector<uint64_t> attempts;
   for (auto* m : {&a, &b}) {
-    for (const auto& t : m->report.tasks) attempts.push_back(t.attempt);
+    for (const auto& t : m->heartbeat.tasks) attempts.push_back(t.attempt);
   }
   EXPECT_EQ(std::count(attempts.begin(), attempts.end(), attempts[0]), 6);
 }
 
 TEST(Rentals, AnUnansweredRentalIsAskedForAgainByNameAlsoByTheNextLeader) {
-  World w;
+  LeaderTestEnvironment w;
   w.cloud.types[0].boot_s = 1;
-  w.Lead();
-  w.cloud.out = true;
+  w.StartLeader();
+  w.cloud.unavailable = true;
   w.Submit(w.Service("job-1", 1));
-  w.Pass(3);
-  ASSERT_FALSE(w.cloud.rented.empty());
-  const std::string name = w.cloud.rented[0].first;
-  w.Lead();
-  w.Pass(1);
-  EXPECT_EQ(w.cloud.rented.back().first, name);
-  for (const auto& [request, count] : w.cloud.rented) EXPECT_EQ(request, name);
+  w.AdvanceTime(3);
+  ASSERT_FALSE(w.cloud.scale_out_requests.empty());
+  const std::string name = w.cloud.scale_out_requests[0].first;
+  w.StartLeader();
+  w.AdvanceTime(1);
+  EXPECT_EQ(w.cloud.scale_out_requests.back().first, name);
+  for (const auto& [request, count] : w.cloud.scale_out_requests) EXPECT_EQ(request, name);
 }
 
 // Found on the fleet's day apart: 135 machines that the former leader had returned were
 // still listed, and taken for machines that boot.
 TEST(Rentals, AListOlderThanTheTermAddsNoMachines) {
-  World w;
-  w.cloud.refuse = true;
+  LeaderTestEnvironment w;
+  w.cloud.out_of_capacity = true;
   CloudInstance row;
   row.name = "m-7";
   row.type = "box";
   row.zone = "east";
   row.age_s = 100;
-  w.cloud.listed = {row};
-  w.Lead();
-  w.Pass(w.settings.cloud_lag_s * 2);
+  w.cloud.instances = {row};
+  w.StartLeader();
+  w.AdvanceTime(w.settings.cloud_lag_s * 2);
   EXPECT_EQ(w.leader->fleet().Find("m-7"), kNoIndex);
-  w.Pass(w.settings.cloud_lag_s + 10);
+  w.AdvanceTime(w.settings.cloud_lag_s + 10);
   EXPECT_NE(w.leader->fleet().Find("m-7"), kNoIndex);
 }
 
 TEST(Rentals, AnIdleMachineGoesBackUnlessReplicasMayNeedIt) {
-  World w;
+  LeaderTestEnvironment w;
   w.tuning.idle_ordinary_boots = 0.1;
-  w.cloud.refuse = true;
-  w.Lead();
-  auto& a = w.Machine("m-1", "east");
-  auto& b = w.Machine("m-2", "west");
+  w.cloud.out_of_capacity = true;
+  w.StartLeader();
+  auto& a = w.AddMachine("m-1", "east");
+  auto& b = w.AddMachine("m-2", "west");
   w.Submit(w.Service("job-1", 1));
-  w.Pass(10);
+  w.AdvanceTime(10);
   // One machine is enough; the room to come back is on it.
-  EXPECT_EQ(w.cloud.returned.size(), 1U);
-  EXPECT_TRUE(a.Has("job-1/0") || b.Has("job-1/0"));
-  EXPECT_NE(w.cloud.returned[0], a.Has("job-1/0") ? "m-1" : "m-2");
+  EXPECT_EQ(w.cloud.released.size(), 1U);
+  EXPECT_TRUE(a.HasTask("job-1/0") || b.HasTask("job-1/0"));
+  EXPECT_NE(w.cloud.released[0], a.HasTask("job-1/0") ? "m-1" : "m-2");
 }
 
 TEST(Placer, AThinlyUsedMachineIsEmptiedReplicaByReplica) {
-  World w;
-  w.cloud.refuse = true;
+  LeaderTestEnvironment w;
+  w.cloud.out_of_capacity = true;
   w.tuning.settled_s = 5;
-  w.Lead();
-  auto& a = w.Machine("m-1", "east");
-  auto& b = w.Machine("m-2", "east");
+  w.StartLeader();
+  auto& a = w.AddMachine("m-1", "east");
+  auto& b = w.AddMachine("m-2", "east");
   w.Submit(w.Service("job-1", 2, 1));
-  w.Pass(2);
-  ASSERT_EQ(a.started.size() + b.started.size(), 2U);
-  ASSERT_EQ(a.started.size(), 1U);  // they spread
+  w.AdvanceTime(2);
+  ASSERT_EQ(a.started_tasks.size() + b.started_tasks.size(), 2U);
+  ASSERT_EQ(a.started_tasks.size(), 1U);  // they spread
   for (int i = 0; i < 40; ++i) {
-    w.Pass(0.5);
-    EXPECT_GE(static_cast<int>(a.Has("job-1/0")) + static_cast<int>(b.Has("job-1/0")) +
-                  static_cast<int>(a.Has("job-1/1")) + static_cast<int>(b.Has("job-1/1")),
+    w.AdvanceTime(0.5);
+    EXPECT_GE(static_cast<int>(a.HasTask("job-1/0")) + static_cast<int>(b.HasTask("job-1/0")) +
+                  static_cast<int>(a.HasTask("job-1/1")) + static_cast<int>(b.HasTask("job-1/1")),
               1);
   }
-  ASSERT_EQ(w.cloud.returned.size(), 1U);
-  FakeWorker& kept = w.cloud.returned[0] == "m-1" ? b : a;
-  EXPECT_TRUE(kept.Has("job-1/0"));
-  EXPECT_TRUE(kept.Has("job-1/1"));
+  ASSERT_EQ(w.cloud.released.size(), 1U);
+  FakeWorker& kept = w.cloud.released[0] == "m-1" ? b : a;
+  EXPECT_TRUE(kept.HasTask("job-1/0"));
+  EXPECT_TRUE(kept.HasTask("job-1/1"));
 }
 
 TEST(Rentals, AMachinesNameIsDurableBeforeItsFirstLaunch) {
-  World w;
-  w.Lead();
+  LeaderTestEnvironment w;
+  w.StartLeader();
   w.Submit(w.Service("job-1", 1));
-  w.Pass(1);
-  w.state.refuse = true;
-  auto& a = w.Machine("m-1", "east");
-  w.Pass(2);
-  EXPECT_TRUE(a.started.empty());
-  w.state.refuse = false;
-  w.Pass(2);
-  EXPECT_EQ(a.started.size(), 1U);
+  w.AdvanceTime(1);
+  w.state.unavailable = true;
+  auto& a = w.AddMachine("m-1", "east");
+  w.AdvanceTime(2);
+  EXPECT_TRUE(a.started_tasks.empty());
+  w.state.unavailable = false;
+  w.AdvanceTime(2);
+  EXPECT_EQ(a.started_tasks.size(), 1U);
 }
 
 }  // namespace
