--- a/tests/state_limits_test.cc
+++ b/tests/state_limits_test.cc
@@ -104,11 +104,11 @@
     OversizedPageScenario scenario;
     scenario.LoadStore();
     scenario.AdvanceTime(0.1 * static_cast<double>(step % 20));
-    scenario.state.hold_commits = step < 20 ? 1 : 0;
+    scenario.state.commits_to_delay = step < 20 ? 1 : 0;
     scenario.stores.back()->Flush();
     scenario.LoadStore();
     ASSERT_TRUE(scenario.HasEachRecordOnce()) << step;
-    scenario.state.Late();  // executes what the former leader had sent
+    scenario.state.ApplyDelayed();  // executes what the former leader had sent
     ASSERT_TRUE(scenario.HasEachRecordOnce()) << step;
     scenario.AdvanceTime(10);
     ASSERT_TRUE(scenario.HasEachRecordOnce()) << step;
@@ -120,13 +120,13 @@
   for (const bool late : {false, true}) {
     OversizedPageScenario scenario;
     RecordStore& store = scenario.LoadStore();
-    (late ? scenario.state.hold_commits : scenario.state.lose_answers) = 1;
+    (late ? scenario.state.commits_to_delay : scenario.state.responses_to_lose) = 1;
     scenario.AdvanceTime(0.1);
     // A record changes on a page whose split is not confirmed.
     const std::string changed = kChangedLastRecord;
     store.Update(kLastRecord, changed, changed.size(), WritePriority::kImmediate);
     scenario.AdvanceTime(0.3);
-    if (late) scenario.state.Late();
+    if (late) scenario.state.ApplyDelayed();
     scenario.AdvanceTime(10);
     EXPECT_TRUE(scenario.HasEachRecordOnce());
     EXPECT_LE(LargestValueBytes(scenario.state), kLoweredValueBytes);
@@ -167,14 +167,14 @@
 TEST_F(LoweredLimitsTest, BackgroundWriteLeavesTokensForImmediateWriteUnderLowOperationLimit) {
   RecordStore& store = scenario_.LoadStore();
   scenario_.AdvanceTime(3);
-  scenario_.state.write_room = 4;
+  scenario_.state.available_write_tokens = 4;
   const RecordId background = store.Add(R"({"row":1})", 800, WritePriority::kBackground);
   scenario_.AdvanceTime(2);
   EXPECT_FALSE(store.IsDurable(background));
   const RecordId immediate = store.Add(R"({"row":2})", 800, WritePriority::kImmediate);
   scenario_.AdvanceTime(0.2);
   EXPECT_TRUE(store.IsDurable(immediate));
-  scenario_.state.write_room = 6;
+  scenario_.state.available_write_tokens = 6;
   scenario_.AdvanceTime(2);
   EXPECT_TRUE(store.IsDurable(background));
 }
@@ -208,7 +208,7 @@
     scenario.state.value_limit = 5000;
     scenario.AdvanceTime(3);
     for (const RecordId record : records) EXPECT_TRUE(store.IsDurable(record)) << ops;
-    EXPECT_LT(scenario.state.too_many_ops + scenario.state.too_large, 30) << ops;
+    EXPECT_LT(scenario.state.rejected_transactions + scenario.state.rejected_values, 30) << ops;
   }
 }
 
@@ -237,41 +237,41 @@
 
 // An earlier version wrote large pages with jobs, machines and cache hints.
 TEST(LeaderLoweredLimitsTest, JobsWrittenUnderLargerLimitsAreKeptAndNewJobsAreAccepted) {
-  World w;
+  LeaderTestEnvironment w;
   w.settings.teams[0].cores_max = 0;
-  w.Lead();
-  for (int i = 0; i < 12; ++i) w.Machine("m-" + std::to_string(i), "east");
+  w.StartLeader();
+  for (int i = 0; i < 12; ++i) w.AddMachine("m-" + std::to_string(i), "east");
   for (int i = 0; i < 40; ++i) {
     ASSERT_EQ(w.Submit(w.Array("job-" + std::to_string(i), 1)).status, 201);
   }
-  w.Pass(20);  // cache hints are written too
-  ASSERT_EQ(w.Ask(JobOperation::kCancel, "job-7").state, JobState::kCancelled);
+  w.AdvanceTime(20);  // cache hints are written too
+  ASSERT_EQ(w.SendRequest(JobOperation::kCancel, "job-7").state, JobState::kCancelled);
   ASSERT_GT(LargestValueBytes(w.state), 4096U);
   w.settings.effective_state_limits.value_kb = 2;
   w.settings.effective_state_limits.txn_ops = 4;
-  w.Lead();
-  w.Pass(5);
+  w.StartLeader();
+  w.AdvanceTime(5);
   w.state.value_limit = 2048;
   w.state.ops_limit = 4;
   ASSERT_EQ(w.Submit(w.Array("job-100", 1)).status, 201);
-  ASSERT_EQ(w.Ask(JobOperation::kCancel, "job-8").state, JobState::kCancelled);
-  w.Pass(20);
-  EXPECT_EQ(w.state.too_large, 0);
-  EXPECT_EQ(w.state.too_many_ops, 0);
+  ASSERT_EQ(w.SendRequest(JobOperation::kCancel, "job-8").state, JobState::kCancelled);
+  w.AdvanceTime(20);
+  EXPECT_EQ(w.state.rejected_values, 0);
+  EXPECT_EQ(w.state.rejected_transactions, 0);
   for (const auto& [key, entry] : w.state.keys) EXPECT_LE(entry.value.size(), 2048U) << key;
-  w.Lead();
+  w.StartLeader();
   for (int i = 0; i < 40; ++i) {
     const std::string id = "job-" + std::to_string(i);
-    EXPECT_EQ(w.Ask(JobOperation::kGet, id).status, 200) << id;
+    EXPECT_EQ(w.SendRequest(JobOperation::kGet, id).status, 200) << id;
   }
-  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-7").state, JobState::kCancelled);
-  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-8").state, JobState::kCancelled);
-  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-100").status, 200);
+  EXPECT_EQ(w.SendRequest(JobOperation::kGet, "job-7").state, JobState::kCancelled);
+  EXPECT_EQ(w.SendRequest(JobOperation::kGet, "job-8").state, JobState::kCancelled);
+  EXPECT_EQ(w.SendRequest(JobOperation::kGet, "job-100").status, 200);
 }
 
 TEST(LeaderLoweredLimitsTest, JobTooLargeForLoweredLimitsCanStillBeCancelled) {
-  World w;
-  w.Lead();
+  LeaderTestEnvironment w;
+  w.StartLeader();
   JobSpec large = w.Array("job-1", 1);
   large.allowed_types.emplace();
   large.allowed_types->push_back("box");
@@ -279,12 +279,12 @@
     large.allowed_types->push_back(std::string(100, 'a') + std::to_string(i));
   ASSERT_EQ(w.Submit(large).status, 201);
   w.settings.effective_state_limits.value_kb = 2;
-  w.Lead();
-  w.Pass(5);
+  w.StartLeader();
+  w.AdvanceTime(5);
   w.state.value_limit = 2048;
-  EXPECT_EQ(w.Ask(JobOperation::kCancel, "job-1").state, JobState::kCancelled);
-  w.Lead();
-  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").state, JobState::kCancelled);
+  EXPECT_EQ(w.SendRequest(JobOperation::kCancel, "job-1").state, JobState::kCancelled);
+  w.StartLeader();
+  EXPECT_EQ(w.SendRequest(JobOperation::kGet, "job-1").state, JobState::kCancelled);
   large.id = "job-2";
   EXPECT_EQ(w.Submit(large).status, 422);
 }
--- a/tests/takeover_test.cc
+++ b/tests/takeover_test.cc
@@ -7,119 +7,119 @@
 namespace {
 
 TEST(Takeover, AdoptsWhatRunsAndStartsNothingTwice) {
-  World w;
-  w.Lead();
-  auto& m = w.Machine("m-1", "east");
+  LeaderTestEnvironment w;
+  w.StartLeader();
+  auto& m = w.AddMachine("m-1", "east");
   w.Submit(w.Service("job-1", 2));
-  w.Pass(1);
-  ASSERT_EQ(m.started.size(), 2U);
-  w.Lead();
-  w.Pass(5);
-  EXPECT_EQ(m.started.size(), 2U);
-  EXPECT_EQ(w.Ask(JobOperation::kGet, "job-1").tasks_running, 2U);
+  w.AdvanceTime(1);
+  ASSERT_EQ(m.started_tasks.size(), 2U);
+  w.StartLeader();
+  w.AdvanceTime(5);
+  EXPECT_EQ(m.started_tasks.size(), 2U);
+  EXPECT_EQ(w.SendRequest(JobOperation::kGet, "job-1").tasks_running, 2U);
 }
 
 TEST(Takeover, ASilentMachineKeepsItsTasksFromStartingElsewhere) {
-  World w;
+  LeaderTestEnvironment w;
   w.tuning.failover_wait_s = 1000;  // never returned: the lease alone decides
-  w.Lead();
-  auto& a = w.Machine("m-1", "east");
+  w.StartLeader();
+  auto& a = w.AddMachine("m-1", "east");
   w.Submit(w.Service("job-1", 1));
-  w.Pass(1);
-  ASSERT_TRUE(a.Has("job-1/0"));
-  a.silent = true;
-  w.cloud.out = true;
-  w.Lead();
-  w.cloud.out = false;
-  auto& b = w.Machine("m-2", "east");
+  w.AdvanceTime(1);
+  ASSERT_TRUE(a.HasTask("job-1/0"));
+  a.unresponsive = true;
+  w.cloud.unavailable = true;
+  w.StartLeader();
+  w.cloud.unavailable = false;
+  auto& b = w.AddMachine("m-2", "east");
   // What the former leader may have answered until the end of its hold lives on
   // for a lease.
-  w.Pass(GracePeriodSeconds(w.settings) + w.settings.lease_s - 2);
-  EXPECT_FALSE(b.Has("job-1/0"));
+  w.AdvanceTime(GracePeriodSeconds(w.settings) + w.settings.lease_s - 2);
+  EXPECT_FALSE(b.HasTask("job-1/0"));
   // New jobs don't wait for this.
   w.Submit(w.Service("job-2", 1));
-  w.Pass(1);
-  EXPECT_TRUE(b.Has("job-2/0"));
-  w.Pass(5);
-  EXPECT_TRUE(b.Has("job-1/0"));
+  w.AdvanceTime(1);
+  EXPECT_TRUE(b.HasTask("job-2/0"));
+  w.AdvanceTime(5);
+  EXPECT_TRUE(b.HasTask("job-1/0"));
 }
 
 TEST(Takeover, ReturningASilentMachineFreesItsTasksSooner) {
-  World w;
-  w.Lead();
-  auto& a = w.Machine("m-1", "east");
+  LeaderTestEnvironment w;
+  w.StartLeader();
+  auto& a = w.AddMachine("m-1", "east");
   w.Submit(w.Service("job-1", 1));
-  w.Pass(1);
-  a.silent = true;
-  w.Lead();
-  auto& b = w.Machine("m-2", "east");
-  w.Pass(w.tuning.failover_wait_s + 4);
-  EXPECT_NE(std::find(w.cloud.returned.begin(), w.cloud.returned.end(), "m-1"),
-            w.cloud.returned.end());
-  EXPECT_TRUE(b.Has("job-1/0"));
+  w.AdvanceTime(1);
+  a.unresponsive = true;
+  w.StartLeader();
+  auto& b = w.AddMachine("m-2", "east");
+  w.AdvanceTime(w.tuning.failover_wait_s + 4);
+  EXPECT_NE(std::find(w.cloud.released.begin(), w.cloud.released.end(), "m-1"),
+            w.cloud.released.end());
+  EXPECT_TRUE(b.HasTask("job-1/0"));
 }
 
 TEST(Takeover, TasksThatMayBeOnASilentMachineCountForTheLimit) {
-  World w;
+  LeaderTestEnvironment w;
   w.tuning.failover_wait_s = 1000;
-  w.Lead();
-  auto& a = w.Machine("m-1", "east");
+  w.StartLeader();
+  auto& a = w.AddMachine("m-1", "east");
   w.Submit(w.Array("job-1", 4));  // 8 of 16 cores
-  w.Pass(1);
-  ASSERT_EQ(a.started.size(), 4U);
-  a.silent = true;
-  w.Lead();
-  auto& b = w.Machine("m-2", "east");
-  auto& c = w.Machine("m-3", "west");
+  w.AdvanceTime(1);
+  ASSERT_EQ(a.started_tasks.size(), 4U);
+  a.unresponsive = true;
+  w.StartLeader();
+  auto& b = w.AddMachine("m-2", "east");
+  auto& c = w.AddMachine("m-3", "west");
   w.Submit(w.Array("job-2", 8));  // all 16
-  w.Pass(5);
-  EXPECT_EQ(b.started.size() + c.started.size(), 4U);
+  w.AdvanceTime(5);
+  EXPECT_EQ(b.started_tasks.size() + c.started_tasks.size(), 4U);
 }
 
 // Found by a hunt on a grown deployment (ran_twice 0.7 s after a change of term): an
 // attempt stopped earlier and not cleared yet made the new leader take the task for
 // free, while its next attempt ran on a machine that had not answered yet.
 TEST(Takeover, ATaskOnASilentMachineHoldsItsJobsZone) {
-  World w;
-  w.cloud.refuse = true;
-  w.Lead();
-  auto& a = w.Machine("m-1", "east");
-  auto& b = w.Machine("m-2", "east");
+  LeaderTestEnvironment w;
+  w.cloud.out_of_capacity = true;
+  w.StartLeader();
+  auto& a = w.AddMachine("m-1", "east");
+  auto& b = w.AddMachine("m-2", "east");
   JobSpec s = w.Array("job-1", 6);  // four on one, two on the other
   s.single_zone = true;
   w.Submit(s);
-  w.Pass(1);
-  ASSERT_EQ(a.started.size() + b.started.size(), 6U);
-  auto& c = w.Machine("m-3", "west");
-  a.silent = true;
-  w.cloud.out = true;
-  w.Lead();
-  w.Pass(1);
+  w.AdvanceTime(1);
+  ASSERT_EQ(a.started_tasks.size() + b.started_tasks.size(), 6U);
+  auto& c = w.AddMachine("m-3", "west");
+  a.unresponsive = true;
+  w.cloud.unavailable = true;
+  w.StartLeader();
+  w.AdvanceTime(1);
   // Those that are known end without success: the rest alone tells the zone.
-  for (const std::string& task : b.started) b.End(task, ExitReason::kStopped);
-  b.report.preemption_notice_s = 30;  // gets nothing new
-  w.Pass(3);
-  EXPECT_TRUE(c.started.empty());
-  w.cloud.out = false;
-  w.Pass(20);
-  EXPECT_EQ(c.started.size(), 4U);
+  for (const std::string& task : b.started_tasks) b.EndTask(task, ExitReason::kStopped);
+  b.heartbeat.preemption_notice_s = 30;  // gets nothing new
+  w.AdvanceTime(3);
+  EXPECT_TRUE(c.started_tasks.empty());
+  w.cloud.unavailable = false;
+  w.AdvanceTime(20);
+  EXPECT_EQ(c.started_tasks.size(), 4U);
 }
 
 TEST(Takeover, AnAttemptThatEndedDoesNotFreeATaskThatMayRunElsewhere) {
-  World w;
+  LeaderTestEnvironment w;
   w.tuning.failover_wait_s = 1000;
-  w.Lead();
-  auto& a = w.Machine("m-1", "east");
+  w.StartLeader();
+  auto& a = w.AddMachine("m-1", "east");
   w.Submit(w.Service("job-1", 1));
-  w.Pass(1);
-  ASSERT_TRUE(a.Has("job-1/0"));
-  auto& b = w.Machine("m-2", "east");
-  b.report.tasks.push_back({"job-1/0", 7, TaskState::kExited, ExitReason::kStopped, false});
-  a.silent = true;
-  w.Lead();
-  w.Pass(5);
-  EXPECT_FALSE(b.Has("job-1/0"));
-  EXPECT_TRUE(b.report.tasks.empty());  // cleared
+  w.AdvanceTime(1);
+  ASSERT_TRUE(a.HasTask("job-1/0"));
+  auto& b = w.AddMachine("m-2", "east");
+  b.heartbeat.tasks.push_back({"job-1/0", 7, TaskState::kExited, ExitReason::kStopped, false});
+  a.unresponsive = true;
+  w.StartLeader();
+  w.AdvanceTime(5);
+  EXPECT_FALSE(b.HasTask("job-1/0"));
+  EXPECT_TRUE(b.heartbeat.tasks.empty());  // cleared
 }
 
 // Found on the fleet's zone day: after a change of term replicas went where their image
@@ -127,15 +127,15 @@
 // Found by a hunt on the visitors' day: the next leader filled pages by what their rows
 // took at the time, the rows grew, and a page over the limit kept every write back.
 TEST(Takeover, PagesThatTheNextLeaderFillsStayWithinTheLimitWhenTheirRowsGrow) {
-  World w;
-  w.cloud.refuse = true;
+  LeaderTestEnvironment w;
+  w.cloud.out_of_capacity = true;
   w.settings.current_state_limits.value_kb = w.settings.effective_state_limits.value_kb = 2;
   w.state.value_limit = 2048;
   w.settings.teams = {{"blue", 0, 0, 0, 0}};
   w.tuning.progress_save_s = 1;
-  w.Lead();
+  w.StartLeader();
   std::vector<FakeWorker*> all;
-  for (int i = 1; i <= 6; ++i) all.push_back(&w.Machine("m-" + std::to_string(i), "east"));
+  for (int i = 1; i <= 6; ++i) all.push_back(&w.AddMachine("m-" + std::to_string(i), "east"));
   auto submit = [&w](int from, int to) {
     for (int i = from; i <= to; ++i) {
       JobSpec s = w.Array("job-" + std::to_string(i), 400, 0.01);
@@ -144,46 +144,47 @@
     }
   };
   submit(1, 8);
-  w.Lead();
+  w.StartLeader();
   submit(9, 24);
   for (int round = 0; round < 40; ++round) {
-    w.Pass(1);
+    w.AdvanceTime(1);
     for (FakeWorker* m : all) {
-      for (TaskStatus& t : m->report.tasks) m->End(t.task_name, ExitReason::kDone);
+      for (TaskStatus& t : m->heartbeat.tasks) m->EndTask(t.task_name, ExitReason::kDone);
     }
   }
-  EXPECT_EQ(w.state.too_large, 0);
+  EXPECT_EQ(w.state.rejected_values, 0);
   for (int i = 1; i <= 24; ++i) {
-    EXPECT_EQ(w.Ask(JobOperation::kGet, "job-" + std::to_string(i)).state, JobState::kDone) << i;
+    EXPECT_EQ(w.SendRequest(JobOperation::kGet, "job-" + std::to_string(i)).state, JobState::kDone)
+        << i;
   }
 }
 
 TEST(Takeover, TheNextLeaderKnowsWhereImagesAre) {
-  World w;
-  w.cloud.refuse = true;
-  w.Lead();
-  auto& a = w.Machine("m-1", "east");
-  auto& b = w.Machine("m-2", "east");
+  LeaderTestEnvironment w;
+  w.cloud.out_of_capacity = true;
+  w.StartLeader();
+  auto& a = w.AddMachine("m-1", "east");
+  auto& b = w.AddMachine("m-2", "east");
   JobSpec other = w.Array("job-1", 4);  // all of a machine
   other.image = "other";
   w.Submit(other);
-  w.Pass(1);
-  FakeWorker& full = a.Has("job-1/0") ? a : b;
+  w.AdvanceTime(1);
+  FakeWorker& full = a.HasTask("job-1/0") ? a : b;
   FakeWorker& held = &full == &a ? b : a;
   w.Submit(w.Service("job-2", 1));
-  w.Pass(1);
-  ASSERT_TRUE(held.Has("job-2/0"));
-  w.Ask(JobOperation::kCancel, "job-1");
-  w.Ask(JobOperation::kCancel, "job-2");
-  w.Pass(w.tuning.progress_save_s * 4);
+  w.AdvanceTime(1);
+  ASSERT_TRUE(held.HasTask("job-2/0"));
+  w.SendRequest(JobOperation::kCancel, "job-1");
+  w.SendRequest(JobOperation::kCancel, "job-2");
+  w.AdvanceTime(w.tuning.progress_save_s * 4);
   for (int i = 0; i < 2; ++i) {  // known to the one after the next, too
-    w.Lead();
-    w.Pass(w.tuning.progress_save_s * 4);
+    w.StartLeader();
+    w.AdvanceTime(w.tuning.progress_save_s * 4);
   }
   w.Submit(w.Service("job-3", 3));
-  w.Pass(2);
+  w.AdvanceTime(2);
   // All three where the image is, although they rather keep apart.
-  EXPECT_EQ(held.Has("job-3/0") + held.Has("job-3/1") + held.Has("job-3/2"), 3);
+  EXPECT_EQ(held.HasTask("job-3/0") + held.HasTask("job-3/1") + held.HasTask("job-3/2"), 3);
 }
 
 // Found by drawn meetings: a new leader renewed a machine's lease for the first time and
@@ -192,52 +193,52 @@
 // Found by the same hunt: a new leader returned 21 of 24 machines after 4 s, before the next
 // report of those that only did not hear could come.
 TEST(Takeover, WhenMostMachinesAreNotHeardTheyAreGivenTime) {
-  World w;
-  w.cloud.refuse = true;
-  w.Lead();
+  LeaderTestEnvironment w;
+  w.cloud.out_of_capacity = true;
+  w.StartLeader();
   std::vector<FakeWorker*> all;
-  for (int i = 1; i <= 8; ++i) all.push_back(&w.Machine("m-" + std::to_string(i), "east"));
-  w.Pass(1);  // their rows are written within half a second
-  for (FakeWorker* m : all) m->silent = m != all[0];
-  w.Lead();
-  w.Pass(w.tuning.partition_death_s - 4);
-  EXPECT_TRUE(w.cloud.returned.empty());
-  w.Pass(8);
-  EXPECT_EQ(w.cloud.returned.size(), 7U);
+  for (int i = 1; i <= 8; ++i) all.push_back(&w.AddMachine("m-" + std::to_string(i), "east"));
+  w.AdvanceTime(1);  // their rows are written within half a second
+  for (FakeWorker* m : all) m->unresponsive = m != all[0];
+  w.StartLeader();
+  w.AdvanceTime(w.tuning.partition_death_s - 4);
+  EXPECT_TRUE(w.cloud.released.empty());
+  w.AdvanceTime(8);
+  EXPECT_EQ(w.cloud.released.size(), 7U);
 }
 
 TEST(Takeover, TheFirstAnswerToAMachineStopsWhatIsCancelled) {
-  World w;
-  w.cloud.refuse = true;
-  w.Lead();
-  auto& a = w.Machine("m-1", "east");
+  LeaderTestEnvironment w;
+  w.cloud.out_of_capacity = true;
+  w.StartLeader();
+  auto& a = w.AddMachine("m-1", "east");
   w.Submit(w.Array("job-1", 1));
   w.Submit(w.Array("job-2", 1));
-  w.Pass(1);
-  ASSERT_TRUE(a.Has("job-1/0") && a.Has("job-2/0"));
-  a.unsent = true;  // reached by answers to its reports only
-  w.Lead();
-  EXPECT_EQ(w.Ask(JobOperation::kCancel, "job-1").state, JobState::kCancelled);
-  w.ReportNow(&a);
-  EXPECT_FALSE(a.Has("job-1/0"));
-  EXPECT_TRUE(a.Has("job-2/0"));
+  w.AdvanceTime(1);
+  ASSERT_TRUE(a.HasTask("job-1/0") && a.HasTask("job-2/0"));
+  a.refuses_connections = true;  // reached by answers to its reports only
+  w.StartLeader();
+  EXPECT_EQ(w.SendRequest(JobOperation::kCancel, "job-1").state, JobState::kCancelled);
+  w.SendHeartbeat(&a);
+  EXPECT_FALSE(a.HasTask("job-1/0"));
+  EXPECT_TRUE(a.HasTask("job-2/0"));
 }
 
 TEST(Takeover, AFormerLeadersLateCommandIsShutOut) {
-  World w;
-  w.Lead();
-  auto& a = w.Machine("m-1", "east");
-  a.hold = 1;
+  LeaderTestEnvironment w;
+  w.StartLeader();
+  auto& a = w.AddMachine("m-1", "east");
+  a.batches_to_delay = 1;
   w.Submit(w.Service("job-1", 1));
   w.clock.now += 0.1;
-  w.Settle();
-  ASSERT_TRUE(a.started.empty());
-  w.Lead();
-  w.Pass(2);
-  const size_t started = a.started.size();
+  w.ProcessPending();
+  ASSERT_TRUE(a.started_tasks.empty());
+  w.StartLeader();
+  w.AdvanceTime(2);
+  const size_t started = a.started_tasks.size();
   EXPECT_EQ(started, 1U);
-  a.Late();
-  EXPECT_EQ(a.started.size(), started);
+  a.DeliverDelayed();
+  EXPECT_EQ(a.started_tasks.size(), started);
 }
 
 }  // namespace
--- a/tests/user_requests_test.cc
+++ b/tests/user_requests_test.cc
@@ -13,10 +13,10 @@
   StatusRateLimiter budget(rate);
   std::vector<double> answered_at(jobs, 0);
   double longest = 0;
-  for (const double now : Steps(0, 120, every_s)) {
+  for (const double now : EvenlySpacedTimes(0, 120, every_s)) {
     for (size_t i = 0; i < jobs; ++i) {
-      if (budget.Admit(JobName(i), now)) {
-        budget.RecordAnswer(JobName(i), true, now);
+      if (budget.Admit(JobId(i), now)) {
+        budget.RecordAnswer(JobId(i), true, now);
         answered_at[i] = now;
       }
       longest = std::max(longest, now - answered_at[i]);
@@ -39,16 +39,16 @@
   constexpr double kRate = 20;
   constexpr size_t kJobs = 100;
   StatusRateLimiter budget(kRate);
-  for (size_t i = 0; i < kJobs; ++i) budget.RecordAnswer(JobName(i), true, 0);
+  for (size_t i = 0; i < kJobs; ++i) budget.RecordAnswer(JobId(i), true, 0);
   std::vector<bool> answered(kJobs, false);
   size_t made_up = kJobs;
   const double from = StatusRateLimiter::kAnswerLastsSeconds;
   for (const double now :
-       Steps(from, from + kJobs / kRate + StatusRateLimiter::kCatchUpSeconds, 0.25)) {
-    for (int i = 0; i < 100; ++i) budget.Admit(JobName(made_up++), now);
+       EvenlySpacedTimes(from, from + kJobs / kRate + StatusRateLimiter::kCatchUpSeconds, 0.25)) {
+    for (int i = 0; i < 100; ++i) budget.Admit(JobId(made_up++), now);
     for (size_t i = 0; i < kJobs; ++i) {
-      if (!budget.Admit(JobName(i), now)) continue;
-      budget.RecordAnswer(JobName(i), true, now);
+      if (!budget.Admit(JobId(i), now)) continue;
+      budget.RecordAnswer(JobId(i), true, now);
       answered[i] = true;
     }
   }
@@ -58,7 +58,7 @@
 TEST(StatusBudget, RemembersNoMoreThanItAdmits) {
   constexpr double kRate = 20;
   StatusRateLimiter budget(kRate);
-  for (const double now : Steps(0, 600, 0.25)) {
+  for (const double now : EvenlySpacedTimes(0, 600, 0.25)) {
     for (int i = 0; i < 100; ++i) {
       const std::string job = "job-" + std::to_string(now) + "-" + std::to_string(i);
       if (budget.Admit(job, now)) budget.RecordAnswer(job, true, now);
@@ -93,12 +93,12 @@
 // silent hung there for 3 s and got 503, though the next leader was there after one.
 TEST(UserRelay, WhatASilentLeaderDoesNotAnswerTheNextOneDoes) {
   for (uint64_t seed = 1; seed <= 8; ++seed) {
-    auto c = Started(seed, 3, 3);
+    auto c = StartCluster(seed, 3, 3);
     const size_t leader = c->Leader();
     c->Freeze(leader, 30);
     std::vector<std::shared_ptr<Asked>> asked;
     for (size_t node = 0; node < 3; ++node) {
-      if (node != leader) asked.push_back(SubmitThrough(c.get(), node, JobName(100 + node)));
+      if (node != leader) asked.push_back(SubmitThrough(c.get(), node, JobId(100 + node)));
     }
     c->Run(2);
     for (const auto& a : asked) {
@@ -107,12 +107,12 @@
       EXPECT_LT(a->after_s, 2) << "seed " << seed;
     }
     c->Run(40);  // it wakes, and answers what nobody waits for any more
-    EXPECT_EQ(c->Broken(), "") << "seed " << seed;
+    EXPECT_EQ(c->Violations(), "") << "seed " << seed;
   }
 }
 
 TEST(UserRelay, WhenNobodyLeadsTheUserHearsItSoon) {
-  auto c = Started(1, 3, 3);
+  auto c = StartCluster(1, 3, 3);
   const size_t leader = c->Leader();
   c->StateOutage(20);  // nobody can follow
   c->Freeze(leader, 20);
@@ -121,7 +121,7 @@
   EXPECT_EQ(asked->status, 503);
   EXPECT_LT(asked->after_s, 2.3);
   c->Run(40);
-  EXPECT_EQ(c->Broken(), "");
+  EXPECT_EQ(c->Violations(), "");
 }
 
 }  // namespace
