--- a/tests/meeting_test.cc
+++ b/tests/meeting_test.cc
@@ -179,7 +179,7 @@
 TEST(CombinedFaults, CancellationAtTheEndOfTheLastTaskHasOneOutcome) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     auto cluster = Started(seed, 3, 6);
-    cluster->rentable = 20;  // idle machines are returned meanwhile
+    cluster->rentable = 20;  // idle machines are released meanwhile
     cluster->run_s = 3;
     for (int i = 1; i <= 12; ++i) {
       const std::string id = JobName(i);
@@ -397,7 +397,7 @@
     cluster->Submit(cluster->Array("job-2", 6));   // waits for the limit
     ASSERT_TRUE(
         cluster->RunUntil([&] { return cluster->On("job-1") + cluster->On("job-2") == 12; }, 30));
-    // The cloud can't return them, so their tasks stay unreconciled for a while.
+    // The cloud can't release them, so their tasks stay unreconciled for a while.
     cluster->cloud_out = true;
     for (int i = 1; i <= 3; ++i) {
       for (size_t n = 0; n < 3; ++n)
