--- a/tests/handover_test.cc
+++ b/tests/handover_test.cc
@@ -52,7 +52,8 @@
         << "seed " << seed;
     cluster->Run(cluster->settings.cancel_s + 5);
     BootAll(cluster.get());
-    for (size_t i = 0; i < 12; ++i) EXPECT_EQ(cluster->ActiveTasks(JobId(i)), 0U) << "seed " << seed;
+    for (size_t i = 0; i < 12; ++i)
+      EXPECT_EQ(cluster->ActiveTasks(JobId(i)), 0U) << "seed " << seed;
     EXPECT_EQ(cluster->Violations(), "") << "seed " << seed;
   }
 }
@@ -99,7 +100,8 @@
     cluster->Hang(hung_machine, cluster->settings.lease_s * 2);
     cluster->Run(2);
     cluster->Crash(cluster->Leader());
-    for (const double delay_s : EvenlySpacedTimes(0.2, 3, 0.2)) cluster->ReplayHeartbeats(hung_machine, delay_s);
+    for (const double delay_s : EvenlySpacedTimes(0.2, 3, 0.2))
+      cluster->ReplayHeartbeats(hung_machine, delay_s);
     EXPECT_TRUE(cluster->RunUntil([&] { return cluster->Leader() != SIZE_MAX; }, 10));
     cluster->Run(60);
     BootAll(cluster.get());
@@ -124,7 +126,8 @@
       for (int query = 0; query < 100; ++query) {
         cluster->Run(0.006);
         cluster->SendRequestOnce(JobOperation::kGet, id);
-        if (cluster->Accepted(id) && query % 10 == 0) cluster->SendRequestOnce(JobOperation::kSubmit, id);
+        if (cluster->Accepted(id) && query % 10 == 0)
+          cluster->SendRequestOnce(JobOperation::kSubmit, id);
         if (is_cancelled && cluster->Accepted(id) && query == 50) cluster->Cancel(id);
       }
     }
@@ -196,7 +199,8 @@
       arrays.push_back(JobId(i));
       cluster->Submit(cluster->Array(arrays.back(), 2));
       cluster->Run(1.5);
-      for (int query = 0; query < 5; ++query) cluster->SendRequestOnce(JobOperation::kGet, arrays.back());
+      for (int query = 0; query < 5; ++query)
+        cluster->SendRequestOnce(JobOperation::kGet, arrays.back());
       if (i == 6) cluster->Cancel("job-2");
       if (i % 5 != 0) continue;
       const size_t leader = cluster->Leader();
--- a/tests/meeting_test.cc
+++ b/tests/meeting_test.cc
@@ -381,7 +381,8 @@
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     auto cluster = StartClusterWithJobs(seed);
     const double heartbeat_loss_s = cluster->settings.lease_s + 12;
-    for (const auto& [name, worker] : cluster->workers) cluster->LoseHeartbeats(name, heartbeat_loss_s);
+    for (const auto& [name, worker] : cluster->workers)
+      cluster->LoseHeartbeats(name, heartbeat_loss_s);
     cluster->Run(4);
     cluster->Cancel("job-2");
     cluster->Submit(cluster->Array("job-3", 2));
--- a/tests/mix_test.cc
+++ b/tests/mix_test.cc
@@ -208,7 +208,7 @@
       case 17:
       case 18:
         cluster_.PartitionZone(kZones[RandomIndex(3)], duration_s,
-                         Chance(0.7) ? PartitionMode::kDelay : PartitionMode::kDrop);
+                               Chance(0.7) ? PartitionMode::kDelay : PartitionMode::kDrop);
         break;
       case 20:
         cluster_.delayed_command_share = Chance(0.5) ? Between(0.1, 0.6) : 0;
--- a/tests/takeover_test.cc
+++ b/tests/takeover_test.cc
@@ -92,7 +92,8 @@
   world.StartLeader();
   world.AdvanceTime(1);
   // The known tasks end without success, so only the unreconciled ones determine the zone.
-  for (const std::string& task : reconciled.started_tasks) reconciled.EndTask(task, ExitReason::kStopped);
+  for (const std::string& task : reconciled.started_tasks)
+    reconciled.EndTask(task, ExitReason::kStopped);
   reconciled.heartbeat.preemption_notice_s = 30;  // gets no new tasks
   world.AdvanceTime(3);
   EXPECT_TRUE(other_zone.started_tasks.empty());
@@ -133,7 +134,8 @@
   world.tuning.progress_save_s = 1;
   world.StartLeader();
   std::vector<FakeWorker*> machines;
-  for (int i = 1; i <= 6; ++i) machines.push_back(&world.AddMachine("m-" + std::to_string(i), "east"));
+  for (int i = 1; i <= 6; ++i)
+    machines.push_back(&world.AddMachine("m-" + std::to_string(i), "east"));
   auto submit = [&world](int from, int to) {
     for (int i = from; i <= to; ++i) {
       JobSpec spec = world.Array("job-" + std::to_string(i), 400, 0.01);
@@ -153,7 +155,8 @@
   }
   EXPECT_EQ(world.state.rejected_values, 0);
   for (int i = 1; i <= 24; ++i) {
-    EXPECT_EQ(world.SendRequest(JobOperation::kGet, "job-" + std::to_string(i)).state, JobState::kDone)
+    EXPECT_EQ(world.SendRequest(JobOperation::kGet, "job-" + std::to_string(i)).state,
+              JobState::kDone)
         << i;
   }
 }
@@ -185,7 +188,8 @@
   world.Submit(world.Service("job-3", 3));
   world.AdvanceTime(2);
   // All three are placed with the image, although replicas are preferably spread.
-  EXPECT_EQ(image_holder.HasTask("job-3/0") + image_holder.HasTask("job-3/1") + image_holder.HasTask("job-3/2"),
+  EXPECT_EQ(image_holder.HasTask("job-3/0") + image_holder.HasTask("job-3/1") +
+                image_holder.HasTask("job-3/2"),
             3);
 }
 
@@ -196,7 +200,8 @@
   world.cloud.out_of_capacity = true;
   world.StartLeader();
   std::vector<FakeWorker*> machines;
-  for (int i = 1; i <= 8; ++i) machines.push_back(&world.AddMachine("m-" + std::to_string(i), "east"));
+  for (int i = 1; i <= 8; ++i)
+    machines.push_back(&world.AddMachine("m-" + std::to_string(i), "east"));
   world.AdvanceTime(1);  // their records are written within half a second
   for (FakeWorker* machine : machines) machine->unresponsive = machine != machines[0];
   world.StartLeader();
--- a/tests/trouble_test.cc
+++ b/tests/trouble_test.cc
@@ -63,7 +63,8 @@
   world.cloud.out_of_capacity = true;
   world.StartLeader();
   std::vector<FakeWorker*> machines;
-  for (int i = 1; i <= 6; ++i) machines.push_back(&world.AddMachine("m-" + std::to_string(i), "east"));
+  for (int i = 1; i <= 6; ++i)
+    machines.push_back(&world.AddMachine("m-" + std::to_string(i), "east"));
   for (FakeWorker* machine : machines) {
     machine->one_way_reachable = true;
     RestartAgent(machine);
@@ -86,7 +87,8 @@
   world.cloud.out_of_capacity = true;
   world.StartLeader();
   std::vector<FakeWorker*> machines;
-  for (int i = 1; i <= 8; ++i) machines.push_back(&world.AddMachine("m-" + std::to_string(i), "east"));
+  for (int i = 1; i <= 8; ++i)
+    machines.push_back(&world.AddMachine("m-" + std::to_string(i), "east"));
   for (FakeWorker* machine : machines) machine->unresponsive = true;
   world.AdvanceTime(world.tuning.death_s + 3);
   EXPECT_TRUE(world.cloud.released.empty());
@@ -164,7 +166,9 @@
   world.AdvanceTime(world.settings.lease_s - 1);
   EXPECT_TRUE(world.cloud.released.empty());
   EXPECT_FALSE(world.cloud.scale_out_zones.empty());
-  EXPECT_EQ(std::count(world.cloud.scale_out_zones.begin(), world.cloud.scale_out_zones.end(), "east"), 0);
+  EXPECT_EQ(
+      std::count(world.cloud.scale_out_zones.begin(), world.cloud.scale_out_zones.end(), "east"),
+      0);
   // The replicas of the partitioned zone are not started here yet.
   EXPECT_EQ(world.RunningTasks(world.west), 32U);
 }
@@ -378,7 +382,8 @@
   // A follower that can reach neither its leader nor a peer.
   HealthCheck isolated_follower("n1");
   isolated_follower.Update(1, "n0", false, 0.1);
-  for (const double t : EvenlySpacedTimes(1, 12, 0.5)) isolated_follower.Update(t, "", false, t - 1);
+  for (const double t : EvenlySpacedTimes(1, 12, 0.5))
+    isolated_follower.Update(t, "", false, t - 1);
   EXPECT_FALSE(isolated_follower.IsHealthy(12));
   // During a leader change a controller stays healthy while its peers respond.
   HealthCheck connected_follower("n2");
