--- a/tests/leader_test.cc
+++ b/tests/leader_test.cc
@@ -89,9 +89,9 @@
       world.SendRequest(JobOperation::kSubmit, "job-1", nullptr, "missing or invalid: cores");
   EXPECT_EQ(repeated.status, 200);
   EXPECT_EQ(repeated.state, JobState::kDone);
-  EXPECT_EQ(
-      world.SendRequest(JobOperation::kSubmit, "job-2", nullptr, "missing or invalid: cores").status,
-      400);
+  EXPECT_EQ(world.SendRequest(JobOperation::kSubmit, "job-2", nullptr, "missing or invalid: cores")
+                .status,
+            400);
   // The same holds long after completion, when only the result is kept, and under the next leader.
   world.AdvanceTime(120);
   EXPECT_EQ(world.Submit(world.Array("job-1", 1)).state, JobState::kDone);
--- a/tests/placer_test.cc
+++ b/tests/placer_test.cc
@@ -14,7 +14,9 @@
   auto& third_worker = world.AddMachine("m-3", "west");
   world.Submit(world.Array("job-1", 12));  // 24 cores, 16 allowed
   world.AdvanceTime(3);
-  EXPECT_EQ(worker.started_tasks.size() + second_worker.started_tasks.size() + third_worker.started_tasks.size(), 8U);
+  EXPECT_EQ(worker.started_tasks.size() + second_worker.started_tasks.size() +
+                third_worker.started_tasks.size(),
+            8U);
 }
 
 TEST(Placer, AntiAffinityAndSingleZoneAreHonored) {
@@ -151,7 +153,8 @@
   world.AdvanceTime(2);
   size_t started_with_image = 0;
   for (const FakeWorker* host : workers_with_image) {
-    for (const std::string& s : host->started_tasks) started_with_image += s.starts_with("job-2") ? 1 : 0;
+    for (const std::string& s : host->started_tasks)
+      started_with_image += s.starts_with("job-2") ? 1 : 0;
   }
   EXPECT_EQ(started_with_image, 40U);
 }
--- a/tests/user_requests_test.cc
+++ b/tests/user_requests_test.cc
@@ -47,8 +47,8 @@
   std::vector<bool> answered(kJobCount, false);
   size_t unknown_job = kJobCount;
   const double from = StatusRateLimiter::kOverdueAfterSeconds;
-  for (const double now :
-       EvenlySpacedTimes(from, from + kJobCount / kRate + StatusRateLimiter::kCatchUpSeconds, 0.25)) {
+  for (const double now : EvenlySpacedTimes(
+           from, from + kJobCount / kRate + StatusRateLimiter::kCatchUpSeconds, 0.25)) {
     for (int i = 0; i < 100; ++i) limiter.Admit(JobId(unknown_job++), now);
     for (size_t i = 0; i < kJobCount; ++i) {
       if (!limiter.Admit(JobId(i), now)) continue;
