--- a/src/api/http_api.cc
+++ b/src/api/http_api.cc
@@ -37,20 +37,20 @@
   return {http_status::kServiceUnavailable, "unknown error"};
 }
 
-HttpAnswer ErrorResponse(int status, std::string_view text) {
-  HttpAnswer response;
+HttpResponse ErrorResponse(int status, std::string_view text) {
+  HttpResponse response;
   response.status = status;
   response.body = EncodeError(text);
   return response;
 }
 
-HttpAnswer ErrorResponse(ApiError error) {
+HttpResponse ErrorResponse(ApiError error) {
   const ErrorDescription description = Describe(error);
   return ErrorResponse(description.status, description.text);
 }
 
-HttpAnswer MethodNotAllowedResponse(const char* allowed_method) {
-  HttpAnswer response = ErrorResponse(ApiError::kMethodNotAllowed);
+HttpResponse MethodNotAllowedResponse(const char* allowed_method) {
+  HttpResponse response = ErrorResponse(ApiError::kMethodNotAllowed);
   response.allow = allowed_method;
   return response;
 }
@@ -88,7 +88,7 @@
 
 void HttpApi::HandleHealthProbe(const HttpServer::Reply& reply) {
   const bool healthy = backend_.is_healthy();
-  HttpAnswer response;
+  HttpResponse response;
   response.status = healthy ? http_status::kOk : http_status::kServiceUnavailable;
   response.body = healthy ? kHealthyBody : kUnhealthyBody;
   reply(response);
@@ -131,7 +131,7 @@
   header.operation = request.operation;
   header.job_id = request.job_id;
   auto respond = [this, header, received_at, reply](const JobResponse& job_response) {
-    HttpAnswer response;
+    HttpResponse response;
     response.status = job_response.status;
     response.retry_after_s = job_response.retry_after_s;
     response.body = EncodeJobResponse(header, job_response);
@@ -151,7 +151,7 @@
     return;
   }
   auto respond = [reply](const HeartbeatResponse& heartbeat_response) {
-    HttpAnswer response;
+    HttpResponse response;
     response.status = heartbeat_response.status;
     response.body = EncodeHeartbeatResponse(heartbeat_response);
     reply(response);
--- a/src/fleet/attempt_reconciler.cc
+++ b/src/fleet/attempt_reconciler.cc
@@ -24,8 +24,10 @@
 // Whether the image of the task is taken to be cached. This includes, wrongly, a task that was
 // stopped while its image was fetched (see the ROADMAP).
 bool HasFetchedImage(const TaskStatus& status) {
-  return status.state != TaskState::kFetching && status.exit_reason != ExitReason::kNoRoom &&
-         status.exit_reason != ExitReason::kInUse && status.exit_reason != ExitReason::kUnknown;
+  return status.state != TaskState::kFetching &&
+         status.exit_reason != ExitReason::kInsufficientCapacity &&
+         status.exit_reason != ExitReason::kAttemptConflict &&
+         status.exit_reason != ExitReason::kUnknownTask;
 }
 
 // Puts `image` last, as the latest one used; the first one is dropped when there are too many.
--- a/src/fleet/http_worker_client.h
+++ b/src/fleet/http_worker_client.h
@@ -12,7 +12,7 @@
   void SendCommands(const std::string& endpoint, uint64_t fencing_token, uint64_t agent_epoch,
                     const std::vector<Command>& commands, double timeout_s, Done done) override;
   void Probe(const std::string& endpoint, double timeout_s, Done done) override;
-  void Trim() { http_.Trim(30); }
+  void Trim() { http_.CloseIdleConnections(30); }
 
  private:
   void Send(const std::string& endpoint, const HttpCall& call, Done done);
--- a/src/leader/attempt_exit_handler.cc
+++ b/src/leader/attempt_exit_handler.cc
@@ -43,13 +43,13 @@
     case ExitReason::kDone:
       RecordSuccess(&machine, attempt);
       break;
-    case ExitReason::kNoRoom:
+    case ExitReason::kInsufficientCapacity:
       machine.insufficient_capacity_until = clock_->Now() + kNoCapacityBackoffSeconds;
       spdlog::info("machine={} task={}: attempt refused: insufficient capacity", machine.name,
                    attempt.task_name);
       break;
-    case ExitReason::kInUse:
-    case ExitReason::kUnknown:
+    case ExitReason::kAttemptConflict:
+    case ExitReason::kUnknownTask:
       RecordRefusal(machine, attempt);
       break;
     case ExitReason::kError:
@@ -80,7 +80,7 @@
   Job& job = (*job_store_)[attempt.job];
   job.backoff_until = std::max(job.backoff_until, clock_->Now() + kRefusalBackoffSeconds);
   spdlog::info("machine={} task={}: attempt refused: {}", machine.name, attempt.task_name,
-               attempt.exit_reason == ExitReason::kInUse
+               attempt.exit_reason == ExitReason::kAttemptConflict
                    ? "another attempt of the task is active there"
                    : "unknown job or task");
 }
--- a/src/leader/gang_supervisor.cc
+++ b/src/leader/gang_supervisor.cc
@@ -54,9 +54,9 @@
   if (!job.spec.gang || attempt.number != job.gang_attempt) return;
   switch (attempt.exit_reason) {
     // Refused before it started: another machine may take it.
-    case ExitReason::kNoRoom:
-    case ExitReason::kInUse:
-    case ExitReason::kUnknown:
+    case ExitReason::kInsufficientCapacity:
+    case ExitReason::kAttemptConflict:
+    case ExitReason::kUnknownTask:
     case ExitReason::kDone:
       return;
     default:
--- a/src/mesh/frame_reader.cc
+++ b/src/mesh/frame_reader.cc
@@ -29,7 +29,7 @@
   while (buffer_.size() - position >= kLengthBytes) {
     const std::string_view rest = std::string_view(buffer_).substr(position);
     const uint32_t length = DecodeLength(rest);
-    if (length > kMaxFrame) return false;
+    if (length > kMaxFrameBytes) return false;
     if (rest.size() - kLengthBytes < length) break;
     std::optional<PeerFrame> frame = DecodeFrame(rest.substr(kLengthBytes, length));
     if (!frame) {
--- a/src/mesh/frame_reader.h
+++ b/src/mesh/frame_reader.h
@@ -2,7 +2,7 @@
 // and a message of that many bytes (see wire/peer_codec.h).
 //
 // Invariant: between calls only the bytes of an incomplete frame are buffered, at most
-// `kMaxFrame` and its length. Owned by the connection whose stream it reads.
+// `kMaxFrameBytes` and its length. Owned by the connection whose stream it reads.
 #pragma once
 
 #include <functional>
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -1,4 +1,4 @@
-// Time as the core sees it; tests turn the hands themselves.
+// Interface of the clock. Tests replace it by one that they advance themselves.
 #pragma once
 
 namespace deckhall {
@@ -6,8 +6,8 @@
 class Clock {
  public:
   virtual ~Clock() = default;
-  virtual double Now() const = 0;   // steady, seconds
-  virtual double Wall() const = 0;  // time of day, seconds since the epoch
+  virtual double Now() const = 0;   // monotonic, seconds
+  virtual double Wall() const = 0;  // wall clock, seconds since the Unix epoch
 };
 
 }  // namespace deckhall
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -4,14 +4,14 @@
 
 namespace deckhall {
 
-void HttpClient::Later(Done done, HttpResult result) {
-  // Tells a failure from the loop, so that callers see one order of events.
-  later_.erase(
-      std::remove_if(later_.begin(), later_.end(), [](const auto& t) { return !t->active(); }),
-      later_.end());
-  later_.push_back(std::make_unique<Timer>(
+void HttpClient::CompleteFromLoop(Done done, HttpResult result) {
+  // Calls `done` from the loop, as for all other results, and not from within Call.
+  completion_timers_.erase(std::remove_if(completion_timers_.begin(), completion_timers_.end(),
+                                          [](const auto& t) { return !t->active(); }),
+                           completion_timers_.end());
+  completion_timers_.push_back(std::make_unique<Timer>(
       loop_, [done = std::move(done), result = std::move(result)] { done(result); }));
-  later_.back()->Start(0.001);
+  completion_timers_.back()->Start(0.001);
 }
 
 void HttpClient::Call(const Endpoint& to, const HttpCall& call, Done done) {
@@ -26,10 +26,10 @@
     std::unique_ptr<TcpConn> tcp;
     if (conns_.size() < max_connections_) tcp = TcpConn::Connect(loop_, to);
     if (!tcp) {
-      Later(std::move(done), HttpResult());
+      CompleteFromLoop(std::move(done), HttpResult());
       return;
     }
-    auto conn = std::make_unique<Conn>(max_body_);
+    auto conn = std::make_unique<Conn>(max_body_bytes_);
     c = conn.get();
     c->id = next_id_++;
     c->peer = peer;
@@ -59,7 +59,7 @@
 
 void HttpClient::OnData(Conn* c, std::string_view bytes) {
   if (!c->done) {
-    Drop(c);  // speaks without being asked
+    Drop(c);  // data without a pending request
     return;
   }
   const auto result = c->parser.Feed(bytes);
@@ -106,29 +106,29 @@
   c->tcp->Abandon();
   dropped_.push_back(std::move(it->second));
   conns_.erase(it);
-  if (!reaper_.active()) reaper_.Start(0);
+  if (!destroy_timer_.active()) destroy_timer_.Start(0);
 }
 
-// With more peers than connections the ones unused for longest make room, a few
-// at a time: to drop them all would make every call dial anew.
+// With more peers than connections, closes the connections that have been idle longest. Closes only
+// a few at a time: if all were closed, every call would have to connect again.
 void HttpClient::DropOldestIdle() {
   std::vector<Conn*> idle;
   for (auto& [peer, pool] : idle_) idle.insert(idle.end(), pool.begin(), pool.end());
-  const size_t most = std::min(idle.size(), std::max<size_t>(1, max_connections_ / 16));
-  std::partial_sort(idle.begin(), idle.begin() + static_cast<ptrdiff_t>(most), idle.end(),
+  const size_t count = std::min(idle.size(), std::max<size_t>(1, max_connections_ / 16));
+  std::partial_sort(idle.begin(), idle.begin() + static_cast<ptrdiff_t>(count), idle.end(),
                     [](const Conn* a, const Conn* b) { return a->idle_since < b->idle_since; });
-  for (size_t i = 0; i < most; ++i) Drop(idle[i]);
+  for (size_t i = 0; i < count; ++i) Drop(idle[i]);
 }
 
-void HttpClient::Trim(double idle_s) {
+void HttpClient::CloseIdleConnections(double idle_s) {
   const double now = loop_->Now();
-  std::vector<Conn*> old;
+  std::vector<Conn*> expired;
   for (auto& [peer, pool] : idle_) {
     for (Conn* c : pool) {
-      if (now - c->idle_since >= idle_s) old.push_back(c);
+      if (now - c->idle_since >= idle_s) expired.push_back(c);
     }
   }
-  for (Conn* c : old) Drop(c);
+  for (Conn* c : expired) Drop(c);
   std::erase_if(idle_, [](const auto& entry) { return entry.second.empty(); });
 }
 
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -1,4 +1,4 @@
-// HTTP client with pooled connections and a deadline for every request.
+// HTTP client with a connection pool and a timeout for each request.
 #pragma once
 
 #include <deque>
@@ -14,8 +14,8 @@
 namespace deckhall {
 
 struct HttpResult {
-  int status = 0;     // 0: no usable answer; the request may or may not be carried out
-  bool sent = false;  // false only if nothing can have reached the other side
+  int status = 0;     // 0 without a valid response; the request may have been executed
+  bool sent = false;  // false only if the request cannot have reached the server
   int retry_after_s = 0;
   std::string body;
 };
@@ -31,16 +31,16 @@
  public:
   using Done = std::function<void(HttpResult)>;
 
-  HttpClient(Loop* loop, size_t max_connections, size_t max_body)
+  HttpClient(Loop* loop, size_t max_connections, size_t max_body_bytes)
       : loop_(loop),
         max_connections_(max_connections),
-        max_body_(max_body),
-        reaper_(loop, [this] { dropped_.clear(); }) {}
+        max_body_bytes_(max_body_bytes),
+        destroy_timer_(loop, [this] { dropped_.clear(); }) {}
 
-  // `done` is called once, from the loop, never from within Call.
+  // Calls `done` exactly once, from the loop and never from within Call.
   void Call(const Endpoint& to, const HttpCall& call, Done done);
-  // Closes idle connections that were not used for a while.
-  void Trim(double idle_s);
+  // Closes connections that have been idle for at least `idle_s` seconds.
+  void CloseIdleConnections(double idle_s);
   size_t connections() const { return conns_.size(); }
 
  private:
@@ -53,25 +53,26 @@
     Done done;
     double idle_since = 0;
     bool used_before = false;
-    explicit Conn(size_t max_body) : parser(HttpParser::Kind::kResponse, 16 << 10, max_body) {}
+    explicit Conn(size_t max_body_bytes)
+        : parser(HttpParser::Kind::kResponse, 16 << 10, max_body_bytes) {}
   };
 
   void Send(Conn* c, const HttpCall& call, Done done);
   void OnData(Conn* c, std::string_view bytes);
   void Fail(Conn* c);
   void Drop(Conn* c);
-  void Later(Done done, HttpResult result);
+  void CompleteFromLoop(Done done, HttpResult result);
   void DropOldestIdle();
 
   Loop* loop_;
   size_t max_connections_;
-  size_t max_body_;
+  size_t max_body_bytes_;
   uint64_t next_id_ = 1;
   std::unordered_map<uint64_t, std::unique_ptr<Conn>> conns_;
   std::unordered_map<std::string, std::vector<Conn*>> idle_;
   std::vector<std::unique_ptr<Conn>> dropped_;
-  std::vector<std::unique_ptr<Timer>> later_;
-  Timer reaper_;
+  std::vector<std::unique_ptr<Timer>> completion_timers_;
+  Timer destroy_timer_;
 };
 
 }  // namespace deckhall
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -9,9 +9,9 @@
 namespace deckhall {
 namespace {
 
-constexpr double kTellEvery = 60;
+constexpr double kLimitLogIntervalSeconds = 60;
 
-const char* Phrase(int status) {
+const char* ReasonPhrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -50,21 +50,21 @@
     : loop_(loop),
       limits_(limits),
       handler_(std::move(handler)),
-      reaper_(loop, [this] { dropped_.clear(); }),
-      sweeper_(loop, [this] { Sweep(); }),
-      listener_(loop, at, [this](std::unique_ptr<TcpConn> c) { Accepted(std::move(c)); }) {
-  sweeper_.Start(1.0, 1.0);
+      destroy_timer_(loop, [this] { dropped_.clear(); }),
+      timeout_timer_(loop, [this] { CloseTimedOutConnections(); }),
+      listener_(loop, at, [this](std::unique_ptr<TcpConn> c) { OnAccept(std::move(c)); }) {
+  timeout_timer_.Start(1.0, 1.0);
 }
 
-void HttpServer::Accepted(std::unique_ptr<TcpConn> tcp) {
+void HttpServer::OnAccept(std::unique_ptr<TcpConn> tcp) {
   if (conns_.size() >= limits_.connections) {
-    // A flood pushes out the connection that has been idle longest; with none
-    // idle the newcomer goes.
-    ++pushed_out_;
-    if (loop_->Now() - told_full_at_ > kTellEvery) {
-      told_full_at_ = loop_->Now();
+    // Closes the connection that has waited longest for its client, or the new one if all others
+    // are busy.
+    ++over_limit_connections_;
+    if (loop_->Now() - limit_logged_at_ > kLimitLogIntervalSeconds) {
+      limit_logged_at_ = loop_->Now();
       spdlog::warn(
-          "connections={}: connection limit reached, idle connections are closed for new ones",
+          "connections={}: connection limit reached; closing idle connections to accept new ones",
           limits_.connections);
     }
     if (idle_.empty()) return;
@@ -73,8 +73,8 @@
   auto conn = std::make_unique<Conn>(limits_);
   Conn* c = conn.get();
   c->id = next_id_++;
-  c->at = idle_.end();
-  Idle(c);
+  c->idle_position = idle_.end();
+  MarkIdle(c);
   c->tcp = std::move(tcp);
   const uint64_t id = c->id;
   c->tcp->SetCallbacks([this, c](std::string_view bytes) { OnData(c, bytes); },
@@ -84,9 +84,9 @@
 
 void HttpServer::OnData(Conn* c, std::string_view bytes) {
   if (c->closing) return;
-  if (!c->parser.InMessage() && !c->busy) Idle(c);
+  if (!c->parser.InMessage() && !c->busy) MarkIdle(c);
   if (c->busy) {
-    // Requests are not pipelined; whoever sends on regardless is held back.
+    // Pipelined requests are not handled in parallel: reading pauses until the response is sent.
     c->tcp->PauseReading(true);
   }
   const auto result = c->parser.Feed(bytes);
@@ -102,37 +102,38 @@
     return;
   }
   if (result == HttpParser::Result::kError) {
-    HttpAnswer answer;
-    answer.status = c->parser.error_status();
-    answer.body = EncodeError("malformed request");
-    answer.close = true;
-    Answer(c, answer);
+    HttpResponse response;
+    response.status = c->parser.error_status();
+    response.body = EncodeError("malformed request");
+    response.close = true;
+    SendResponse(c, response);
     return;
   }
   HttpMessage request = c->parser.Take();
-  Busy(c);
+  MarkBusy(c);
   c->keep_alive = request.keep_alive;
   const uint64_t id = c->id;
-  handler_(std::move(request), [this, id](const HttpAnswer& answer) {
+  handler_(std::move(request), [this, id](const HttpResponse& response) {
     auto it = conns_.find(id);
     if (it == conns_.end() || !it->second->busy || it->second->closing) return;
-    Answer(it->second.get(), answer);
+    SendResponse(it->second.get(), response);
   });
 }
 
-void HttpServer::Answer(Conn* c, const HttpAnswer& answer) {
-  const bool close = answer.close || !c->keep_alive;
-  std::string out = "HTTP/1.1 " + std::to_string(answer.status) + " " + Phrase(answer.status) +
+void HttpServer::SendResponse(Conn* c, const HttpResponse& response) {
+  const bool close = response.close || !c->keep_alive;
+  std::string out = "HTTP/1.1 " + std::to_string(response.status) + " " +
+                    ReasonPhrase(response.status) +
                     "\r\nContent-Type: application/json\r\nContent-Length: " +
-                    std::to_string(answer.body.size()) + "\r\n";
-  if (answer.retry_after_s > 0) {
-    out += "Retry-After: " + std::to_string(answer.retry_after_s) + "\r\n";
+                    std::to_string(response.body.size()) + "\r\n";
+  if (response.retry_after_s > 0) {
+    out += "Retry-After: " + std::to_string(response.retry_after_s) + "\r\n";
   }
-  if (!answer.allow.empty()) out += "Allow: " + answer.allow + "\r\n";
+  if (!response.allow.empty()) out += "Allow: " + response.allow + "\r\n";
   if (close) out += "Connection: close\r\n";
   out += "\r\n";
-  out += answer.body;
-  Idle(c);
+  out += response.body;
+  MarkIdle(c);
   c->tcp->Send(out);
   if (close) {
     c->closing = true;
@@ -146,47 +147,47 @@
 void HttpServer::Drop(uint64_t id) {
   auto it = conns_.find(id);
   if (it == conns_.end()) return;
-  Busy(it->second.get());
+  MarkBusy(it->second.get());
   it->second->closing = true;
   it->second->tcp->Abandon();
   dropped_.push_back(std::move(it->second));
   conns_.erase(it);
-  if (!reaper_.active()) reaper_.Start(0);
+  if (!destroy_timer_.active()) destroy_timer_.Start(0);
 }
 
-void HttpServer::Idle(Conn* c) {
-  Busy(c);
+void HttpServer::MarkIdle(Conn* c) {
+  MarkBusy(c);
   c->busy = false;
-  c->since = loop_->Now();
-  c->at = idle_.insert(idle_.end(), c);
+  c->waiting_since = loop_->Now();
+  c->idle_position = idle_.insert(idle_.end(), c);
 }
 
-void HttpServer::Busy(Conn* c) {
+void HttpServer::MarkBusy(Conn* c) {
   c->busy = true;
-  if (c->at != idle_.end()) idle_.erase(c->at);
-  c->at = idle_.end();
+  if (c->idle_position != idle_.end()) idle_.erase(c->idle_position);
+  c->idle_position = idle_.end();
 }
 
-void HttpServer::Sweep() {
+void HttpServer::CloseTimedOutConnections() {
   const double now = loop_->Now();
-  std::vector<uint64_t> gone;
+  std::vector<uint64_t> timed_out;
   for (auto& [id, c] : conns_) {
-    const double age = now - c->since;
+    const double age = now - c->waiting_since;
     if (c->tcp->unsent() > 0) {
-      if (age > limits_.answer_s) gone.push_back(id);
+      if (age > limits_.response_timeout_s) timed_out.push_back(id);
     } else if (!c->busy && !c->closing) {
-      if (c->parser.InMessage() && age > limits_.request_s) {
-        HttpAnswer answer;
-        answer.status = 408;
-        answer.body = EncodeError("request took too long");
-        answer.close = true;
-        Answer(c.get(), answer);
-      } else if (age > limits_.idle_s) {
-        gone.push_back(id);
+      if (c->parser.InMessage() && age > limits_.request_timeout_s) {
+        HttpResponse response;
+        response.status = 408;
+        response.body = EncodeError("request took too long");
+        response.close = true;
+        SendResponse(c.get(), response);
+      } else if (age > limits_.idle_timeout_s) {
+        timed_out.push_back(id);
       }
     }
   }
-  for (uint64_t id : gone) Drop(id);
+  for (uint64_t id : timed_out) Drop(id);
 }
 
 }  // namespace deckhall
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -1,4 +1,4 @@
-// HTTP server: one request at a time on each connection, answers may come later.
+// HTTP server. Handles one request at a time on each connection and may respond asynchronously.
 #pragma once
 
 #include <functional>
@@ -13,7 +13,7 @@
 
 namespace deckhall {
 
-struct HttpAnswer {
+struct HttpResponse {
   int status = 200;
   std::string body;
   int retry_after_s = 0;
@@ -25,23 +25,24 @@
   size_t connections = 1000;
   size_t head_bytes = 16 << 10;
   size_t body_bytes = 64 << 10;
-  double request_s = 10;  // from a request's first byte to its last
-  double idle_s = 120;    // between requests
-  double answer_s = 20;   // a reader slower than this is cut off
+  double request_timeout_s = 10;   // for receiving a whole request
+  double idle_timeout_s = 120;     // between two requests
+  double response_timeout_s = 20;  // for sending a whole response to a slow client
 };
 
 class HttpServer {
  public:
-  using Reply = std::function<void(HttpAnswer)>;
-  // The reply may be called at once or later, from the loop; calls after the
-  // connection is gone do nothing.
+  using Reply = std::function<void(HttpResponse)>;
+  // The handler calls the reply within its own call or later, from the loop. The reply has no
+  // effect once the connection is closed.
   using Handler = std::function<void(HttpMessage, Reply)>;
 
   HttpServer(Loop* loop, const Endpoint& at, HttpServerLimits limits, Handler handler);
 
   size_t connections() const { return conns_.size(); }
-  // Connections that were pushed out by newer ones, or refused.
-  uint64_t pushed_out() const { return pushed_out_; }
+  // Number of connections accepted at the connection limit: each one replaced an idle connection or
+  // was closed.
+  uint64_t over_limit_connections() const { return over_limit_connections_; }
 
  private:
   struct Conn {
@@ -51,35 +52,35 @@
     bool busy = false;
     bool closing = false;
     bool keep_alive = true;
-    double since = 0;               // when the present stage began
-    std::list<Conn*>::iterator at;  // in idle_, while not busy
+    double waiting_since = 0;                  // when it last began to wait for its client
+    std::list<Conn*>::iterator idle_position;  // in idle_, unless busy
     explicit Conn(const HttpServerLimits& l)
         : parser(HttpParser::Kind::kRequest, l.head_bytes, l.body_bytes) {}
   };
 
-  void Accepted(std::unique_ptr<TcpConn> tcp);
+  void OnAccept(std::unique_ptr<TcpConn> tcp);
   void OnData(Conn* c, std::string_view bytes);
   void Handle(Conn* c, HttpParser::Result result);
-  void Answer(Conn* c, const HttpAnswer& answer);
+  void SendResponse(Conn* c, const HttpResponse& response);
   void Drop(uint64_t id);
-  void Sweep();
-  // A stage begins now in which it waits for its client.
-  void Idle(Conn* c);
-  void Busy(Conn* c);
+  void CloseTimedOutConnections();
+  // Marks the connection as waiting for its client, from now on.
+  void MarkIdle(Conn* c);
+  void MarkBusy(Conn* c);
 
   Loop* loop_;
   HttpServerLimits limits_;
   Handler handler_;
   uint64_t next_id_ = 1;
   std::unordered_map<uint64_t, std::unique_ptr<Conn>> conns_;
-  // Those that wait for their client, the longest first: with a full table the one to
-  // go is found without a walk.
+  // Connections that wait for their client, longest wait first, so that at the connection limit the
+  // one to close is found in constant time.
   std::list<Conn*> idle_;
-  uint64_t pushed_out_ = 0;
-  double told_full_at_ = -1e9;
-  std::vector<std::unique_ptr<Conn>> dropped_;  // destroyed from the loop
-  Timer reaper_;
-  Timer sweeper_;
+  uint64_t over_limit_connections_ = 0;
+  double limit_logged_at_ = -1e9;
+  std::vector<std::unique_ptr<Conn>> dropped_;  // destroyed by destroy_timer_
+  Timer destroy_timer_;
+  Timer timeout_timer_;
   TcpListener listener_;
 };
 
--- a/src/net/http_status.h
+++ b/src/net/http_status.h
@@ -1,4 +1,4 @@
-// The HTTP status codes of the protocols of users, workers, cloud and state service (PROTOCOL).
+// HTTP status codes used with users, workers, the cloud and the state service (PROTOCOL).
 #pragma once
 
 namespace deckhall::http_status {
@@ -10,12 +10,12 @@
 constexpr int kNotFound = 404;
 constexpr int kMethodNotAllowed = 405;
 constexpr int kConflict = 409;
-constexpr int kGone = 410;                // the revisions to watch from are not kept any more
-constexpr int kMisdirectedRequest = 421;  // the worker reports to another controller
+constexpr int kGone = 410;                // the revisions to watch from have been compacted
+constexpr int kMisdirectedRequest = 421;  // another controller is the leader
 constexpr int kTooManyRequests = 429;
 constexpr int kServiceUnavailable = 503;
 
-// The first status that is no success.
+// Lowest status code that does not mean success.
 constexpr int kFirstUnsuccessful = 300;
 
 }  // namespace deckhall::http_status
--- a/src/net/loop.cc
+++ b/src/net/loop.cc
@@ -8,7 +8,7 @@
 Loop::Loop()
     : loop_(ev_loop_new(static_cast<unsigned>(EVBACKEND_EPOLL) |
                         static_cast<unsigned>(EVFLAG_NOENV))) {
-  if (loop_ == nullptr) throw std::runtime_error("no event loop");
+  if (loop_ == nullptr) throw std::runtime_error("cannot create an event loop");
 }
 
 Loop::~Loop() { ev_loop_destroy(loop_); }
@@ -62,29 +62,29 @@
   static_cast<BeforeWait*>(w->data)->fn_();
 }
 
-IoWatch::IoWatch(Loop* loop, int fd, std::function<void(bool, bool)> fn)
+IoWatcher::IoWatcher(Loop* loop, int fd, std::function<void(bool, bool)> fn)
     : loop_(loop), fd_(fd), fn_(std::move(fn)) {
-  ev_init(&watcher_, &IoWatch::Fired);
-  // Data that has come counts before a deadline that passes in the same turn: after
-  // a stall of our own, answers would otherwise seem to be missing.
+  ev_init(&watcher_, &IoWatcher::Fired);
+  // Descriptors are handled before timers that expire in the same iteration: after a stall of this
+  // process, responses that have already arrived would otherwise count as timed out.
   ev_set_priority(&watcher_, EV_MAXPRI);
   watcher_.data = this;
 }
 
-IoWatch::~IoWatch() { ev_io_stop(loop_->ev(), &watcher_); }
+IoWatcher::~IoWatcher() { ev_io_stop(loop_->ev(), &watcher_); }
 
-void IoWatch::Want(bool read, bool write) {
+void IoWatcher::WatchFor(bool read, bool write) {
   const int events = (read ? EV_READ : 0) | (write ? EV_WRITE : 0);
-  if (events == wanted_) return;
-  wanted_ = events;
+  if (events == watched_events_) return;
+  watched_events_ = events;
   ev_io_stop(loop_->ev(), &watcher_);
   if (events == 0) return;
   ev_io_set(&watcher_, fd_, events);
   ev_io_start(loop_->ev(), &watcher_);
 }
 
-void IoWatch::Fired(struct ev_loop* /*loop*/, ev_io* w, int events) {
-  static_cast<IoWatch*>(w->data)->fn_((events & EV_READ) != 0, (events & EV_WRITE) != 0);
+void IoWatcher::Fired(struct ev_loop* /*loop*/, ev_io* w, int events) {
+  static_cast<IoWatcher*>(w->data)->fn_((events & EV_READ) != 0, (events & EV_WRITE) != 0);
 }
 
 }  // namespace deckhall
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,4 +1,4 @@
-// The event loop: libev behind a few small classes.
+// Event loop with timers and descriptor watchers, based on libev.
 #pragma once
 
 #include <ev.h>
@@ -20,16 +20,16 @@
   }
   void Run();
   void Stop();
-  // Steady clock in seconds, as of this turn of the loop.
+  // Monotonic time in seconds, read at each call.
   double Now() const;
 
  private:
   struct ev_loop* loop_;
 };
 
-// Steady time, read now.
+// Monotonic time in seconds.
 double SteadySeconds();
-// Time of day in seconds since the epoch.
+// Wall-clock time in seconds since the Unix epoch.
 double WallSeconds();
 
 class Timer {
@@ -51,7 +51,8 @@
   std::function<void()> fn_;
 };
 
-// Called each time before the loop waits: what was gathered in this turn goes out.
+// Calls `fn` each time before the loop waits for events, for example to flush output that was
+// collected during the iteration.
 class BeforeWait {
  public:
   BeforeWait(Loop* loop, std::function<void()> fn);
@@ -67,15 +68,15 @@
   std::function<void()> fn_;
 };
 
-// Watches one descriptor for reading and writing.
-class IoWatch {
+// Watches one file descriptor for readability and writability.
+class IoWatcher {
  public:
-  IoWatch(Loop* loop, int fd, std::function<void(bool readable, bool writable)> fn);
-  ~IoWatch();
-  IoWatch(const IoWatch&) = delete;
-  IoWatch& operator=(const IoWatch&) = delete;
+  IoWatcher(Loop* loop, int fd, std::function<void(bool readable, bool writable)> fn);
+  ~IoWatcher();
+  IoWatcher(const IoWatcher&) = delete;
+  IoWatcher& operator=(const IoWatcher&) = delete;
 
-  void Want(bool read, bool write);
+  void WatchFor(bool read, bool write);
 
  private:
   static void Fired(struct ev_loop* loop, ev_io* w, int events);
@@ -83,7 +84,7 @@
   Loop* loop_;
   ev_io watcher_{};
   int fd_;
-  int wanted_ = 0;
+  int watched_events_ = 0;
   std::function<void(bool, bool)> fn_;
 };
 
--- a/src/net/tcp.cc
+++ b/src/net/tcp.cc
@@ -22,23 +22,23 @@
   return inet_pton(AF_INET, e.host.c_str(), &out->sin_addr) == 1;
 }
 
-void NoDelay(int fd) {
+void SetNoDelay(int fd) {
   const int one = 1;
   (void)setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
 }
 
 int OpenListener(const Endpoint& at) {
   sockaddr_in addr{};
-  if (!ToSockaddr(at, &addr)) throw std::runtime_error("not an address: " + at.Text());
+  if (!ToSockaddr(at, &addr)) throw std::runtime_error("invalid listen address " + at.Text());
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (fd < 0) throw std::runtime_error("no socket for " + at.Text());
+  if (fd < 0) throw std::runtime_error("cannot create a socket for " + at.Text());
   const int one = 1;
   (void)setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
   if (bind(fd, reinterpret_cast<sockaddr*>(&addr), sizeof addr) != 0 || listen(fd, 512) != 0) {
-    const int why = errno;
+    const int error_number = errno;
     close(fd);
-    throw std::runtime_error("can't listen on " + at.Text() + ": " +
-                             std::generic_category().message(why));
+    throw std::runtime_error("cannot listen on " + at.Text() + ": " +
+                             std::generic_category().message(error_number));
   }
   return fd;
 }
@@ -56,20 +56,20 @@
   }
   out->host = text.substr(0, colon);
   out->port = static_cast<uint16_t>(value);
-  sockaddr_in probe{};
-  return ToSockaddr(*out, &probe);
+  sockaddr_in address{};
+  return ToSockaddr(*out, &address);
 }
 
 TcpConn::TcpConn(Loop* loop, int fd)
     : fd_(fd),
       watch_(loop, fd, [this](bool r, bool w) { OnIo(r, w); }),
-      closer_(loop, [this] { Closed(); }) {
-  NoDelay(fd);
+      close_timer_(loop, [this] { OnClosed(); }) {
+  SetNoDelay(fd);
 }
 
 TcpConn::~TcpConn() {
   *alive_ = false;
-  watch_.Want(false, false);
+  watch_.WatchFor(false, false);
   if (fd_ >= 0) close(fd_);
 }
 
@@ -90,69 +90,70 @@
 void TcpConn::SetCallbacks(DataFn on_data, CloseFn on_close) {
   on_data_ = std::move(on_data);
   on_close_ = std::move(on_close);
-  Update();
+  UpdateWatchedEvents();
 }
 
-void TcpConn::Update() {
-  if (dead_) return;
+void TcpConn::UpdateWatchedEvents() {
+  if (closed_) return;
   if (!connected_) {
-    watch_.Want(false, true);
+    watch_.WatchFor(false, true);
     return;
   }
-  watch_.Want(!paused_ || closing_, out_at_ < out_.size());
+  watch_.WatchFor(!paused_ || closing_, send_offset_ < send_buffer_.size());
 }
 
 void TcpConn::Send(std::string_view bytes) {
-  if (dead_ || closing_) return;
-  if (out_at_ == out_.size()) {
-    out_.clear();
-    out_at_ = 0;
+  if (closed_ || closing_) return;
+  if (send_offset_ == send_buffer_.size()) {
+    send_buffer_.clear();
+    send_offset_ = 0;
   }
-  out_.append(bytes);
+  send_buffer_.append(bytes);
   if (connected_ && !Flush()) {
-    // Told from the loop, never from within Send.
-    dead_ = true;
-    watch_.Want(false, false);
-    closer_.Start(0);
+    // The loop calls on_close, because Send must not.
+    closed_ = true;
+    watch_.WatchFor(false, false);
+    close_timer_.Start(0);
     return;
   }
-  Update();
+  UpdateWatchedEvents();
 }
 
 bool TcpConn::Flush() {
-  while (out_at_ < out_.size()) {
-    const ssize_t n = send(fd_, out_.data() + out_at_, out_.size() - out_at_, MSG_NOSIGNAL);
+  while (send_offset_ < send_buffer_.size()) {
+    const ssize_t n = send(fd_, send_buffer_.data() + send_offset_,
+                           send_buffer_.size() - send_offset_, MSG_NOSIGNAL);
     if (n > 0) {
-      out_at_ += static_cast<size_t>(n);
+      send_offset_ += static_cast<size_t>(n);
     } else if (n < 0 && errno == EINTR) {
       continue;
     } else {
       return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
     }
   }
-  out_.clear();
-  out_at_ = 0;
+  send_buffer_.clear();
+  send_offset_ = 0;
   return true;
 }
 
 void TcpConn::Abandon() {
-  dead_ = true;
-  watch_.Want(false, false);
-  closer_.Stop();
+  closed_ = true;
+  watch_.WatchFor(false, false);
+  close_timer_.Stop();
 }
 
 void TcpConn::PauseReading(bool pause) {
   paused_ = pause;
-  Update();
+  UpdateWatchedEvents();
 }
 
 void TcpConn::CloseAfterSend() {
-  if (dead_ || closing_) return;
+  if (closed_ || closing_) return;
   closing_ = true;
   if (unsent() == 0) (void)shutdown(fd_, SHUT_WR);
-  // Gives the peer a moment to read the answer before a reset could drop it.
-  closer_.Start(1.0);
-  Update();
+  // Gives the peer time to read the response: after a reset it could lose unread data.
+  close_timer_.Start(1.0);
+  UpdateWatchedEvents();
 }
 
 void TcpConn::OnIo(bool readable, bool writable) {
@@ -162,25 +163,25 @@
       int err = 0;
       socklen_t len = sizeof err;
       if (getsockopt(fd_, SOL_SOCKET, SO_ERROR, &err, &len) != 0 || err != 0) {
-        Closed();
+        OnClosed();
         return;
       }
       connected_ = true;
     }
     if (!Flush()) {
-      Closed();
+      OnClosed();
       return;
     }
     if (closing_ && unsent() == 0) (void)shutdown(fd_, SHUT_WR);
   }
   if (readable) {
     char buffer[16384];
-    for (int turn = 0; turn < 4; ++turn) {
+    for (int read_count = 0; read_count < 4; ++read_count) {
       const ssize_t n = recv(fd_, buffer, sizeof buffer, 0);
       if (n > 0) {
         if (!closing_ && on_data_) {
           on_data_(std::string_view(buffer, static_cast<size_t>(n)));
-          if (alive.expired() || dead_) return;
+          if (alive.expired() || closed_) return;
         }
         if (static_cast<size_t>(n) < sizeof buffer || paused_) break;
       } else if (n < 0 && errno == EINTR) {
@@ -188,18 +189,18 @@
       } else if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
         break;
       } else {
-        Closed();
+        OnClosed();
         return;
       }
     }
   }
-  Update();
+  UpdateWatchedEvents();
 }
 
-void TcpConn::Closed() {
-  dead_ = true;
-  watch_.Want(false, false);
-  closer_.Stop();
+void TcpConn::OnClosed() {
+  closed_ = true;
+  watch_.WatchFor(false, false);
+  close_timer_.Stop();
   if (on_close_) {
     CloseFn fn = std::move(on_close_);
     on_close_ = nullptr;
@@ -212,12 +213,12 @@
       fd_(OpenListener(at)),
       on_accept_(std::move(on_accept)),
       watch_(loop, fd_, [this](bool, bool) { OnReadable(); }),
-      retry_(loop, [this] { watch_.Want(true, false); }) {
-  watch_.Want(true, false);
+      retry_(loop, [this] { watch_.WatchFor(true, false); }) {
+  watch_.WatchFor(true, false);
 }
 
 TcpListener::~TcpListener() {
-  watch_.Want(false, false);
+  watch_.WatchFor(false, false);
   close(fd_);
 }
 
@@ -227,8 +228,8 @@
     if (fd < 0) {
       if (errno == EINTR || errno == ECONNABORTED) continue;
       if (errno != EAGAIN && errno != EWOULDBLOCK) {
-        // Out of sockets: wait a little instead of spinning.
-        watch_.Want(false, false);
+        // For example no free descriptors: retries after a pause, to avoid a busy loop.
+        watch_.WatchFor(false, false);
         retry_.Start(0.1);
       }
       return;
--- a/src/net/token_bucket.h
+++ b/src/net/token_bucket.h
@@ -1,4 +1,4 @@
-// A rate budget with a burst; a reserve can be kept for what goes first.
+// Token bucket rate limiter. Callers of low priority can leave a reserve for the others.
 #pragma once
 
 #include <algorithm>
@@ -9,7 +9,7 @@
  public:
   TokenBucket(double rate, double burst) : rate_(rate), burst_(burst), level_(burst) {}
 
-  // Takes `n` if that leaves `reserve` untouched.
+  // Takes `n` tokens if at least `reserve` tokens remain.
   bool Take(double now, double n, double reserve = 0) {
     Refill(now);
     if (level_ - n < reserve) return false;
@@ -20,7 +20,7 @@
     Refill(now);
     return level_;
   }
-  // The other side refused: its count and ours differ.
+  // Empties the bucket after the remote side rejected a request: its count is lower than this one.
   void Drain() { level_ = std::min(level_, 0.0); }
 
  private:
--- a/src/wire/cloud_codec.cc
+++ b/src/wire/cloud_codec.cc
@@ -1,6 +1,6 @@
-// Messages of the cloud.
+// Names on the wire and the terms that the code uses for them:
 //
-//   wire word        term
+//   wire name        term
 //   cascos, casco    machine types, machine type
 //   cubiertas        instances
 //   name_id          name of an instance
--- a/src/wire/cloud_codec.h
+++ b/src/wire/cloud_codec.h
@@ -1,7 +1,6 @@
-// Messages of the cloud (PROTOCOL, "Controller nodes -> cloud").
+// JSON codec of the cloud API (PROTOCOL, "Controller nodes -> cloud").
 //
-// Functions keep no state and are safe to call from anywhere. A decoder's result is empty when
-// the body is malformed.
+// All functions are stateless and thread-safe. Decoders return nothing if the body is malformed.
 #pragma once
 
 #include <optional>
@@ -13,24 +12,24 @@
 
 namespace deckhall {
 
-// Instances in the order of their names.
+// One page of the instance list, sorted by name.
 struct InstancePage {
   std::vector<CloudInstance> instances;
-  bool truncated = false;  // more follow the last one
+  bool truncated = false;  // further pages follow
 };
 
-// Empty also when the list has no type: the cloud always offers some.
+// Returns nothing also for an empty list, because the cloud always offers machine types.
 std::optional<std::vector<MachineType>> DecodeTypes(std::string_view body);
-// An instance whose state isn't known counts as starting.
+// An instance with an unknown state is treated as starting.
 std::optional<InstancePage> DecodeInstanceList(std::string_view body);
-// The names of the instances that were started; maybe fewer than were asked for.
+// Names of the started instances, possibly fewer than requested.
 std::optional<std::vector<std::string>> DecodeScaleOutResponse(std::string_view body);
 
-// `request_id` makes the request idempotent, and is never used for another one.
+// `request_id` makes the request idempotent. It must not be reused for another request.
 std::string EncodeScaleOut(const std::string& request_id, const std::string& type,
                            const std::string& zone, bool spot, int count);
 std::string EncodeScaleIn(const std::vector<std::string>& machines);
-// The path that lists `limit` instances at most, from the one after `after` on.
+// Path of the list of at most `limit` instances that follow the name `after`.
 std::string InstanceListPath(const std::string& after, int limit);
 
 }  // namespace deckhall
--- a/src/wire/enum_words.h
+++ b/src/wire/enum_words.h
@@ -1,4 +1,5 @@
-// Words of the wire for the values of an enum: one table, used in both directions.
+// Mapping between the values of an enum and their names on the wire. One table serves both
+// directions.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +14,7 @@
   const char* word;
 };
 
-// The value that has the word; empty when none has.
+// Returns the value with this name, or nothing if the name is unknown.
 template <class Enum, size_t N>
 std::optional<Enum> EnumOf(const EnumWord<Enum> (&words)[N], std::string_view word) {
   for (const EnumWord<Enum>& known : words) {
@@ -22,7 +23,7 @@
   return std::nullopt;
 }
 
-// The word of the value; `otherwise` when the table has none.
+// Returns the name of the value, or `otherwise` if the table does not contain it.
 template <class Enum, size_t N>
 const char* WordOf(const EnumWord<Enum> (&words)[N], Enum value, const char* otherwise = "") {
   for (const EnumWord<Enum>& known : words) {
--- a/src/wire/http_parser.cc
+++ b/src/wire/http_parser.cc
@@ -21,9 +21,10 @@
 }
 
 bool IsToken(std::string_view s) {
-  static constexpr std::string_view kMarks = "!#$%&'*+-.^_`|~";
+  static constexpr std::string_view kTokenSymbols = "!#$%&'*+-.^_`|~";
   return !s.empty() && std::all_of(s.begin(), s.end(), [](unsigned char c) {
-    return std::isalnum(c) != 0 || kMarks.find(static_cast<char>(c)) != std::string_view::npos;
+    return std::isalnum(c) != 0 ||
+           kTokenSymbols.find(static_cast<char>(c)) != std::string_view::npos;
   });
 }
 
@@ -50,21 +51,21 @@
   return true;
 }
 
-constexpr size_t kMaxChunkLine = 256;
+constexpr size_t kMaxChunkLineBytes = 256;
 
 }  // namespace
 
 HttpParser::Result HttpParser::Fail(int status) {
   error_status_ = status;
   buffer_.clear();
-  cursor_ = scan_ = 0;
+  cursor_ = scan_offset_ = 0;
   return Result::kError;
 }
 
 HttpParser::Result HttpParser::Feed(std::string_view bytes) {
   if (cursor_ > 0) {
     buffer_.erase(0, cursor_);
-    scan_ -= std::min(scan_, cursor_);
+    scan_offset_ -= std::min(scan_offset_, cursor_);
     cursor_ = 0;
   }
   buffer_.append(bytes);
@@ -85,27 +86,27 @@
   for (;;) {
     switch (stage_) {
       case Stage::kHead: {
-        // Empty lines before a message are skipped, as RFC 9112 advises.
+        // Skips empty lines before a message, as RFC 9112 recommends.
         while (cursor_ < buffer_.size() && (buffer_[cursor_] == '\r' || buffer_[cursor_] == '\n') &&
-               scan_ <= cursor_) {
+               scan_offset_ <= cursor_) {
           ++cursor_;
-          scan_ = cursor_;
+          scan_offset_ = cursor_;
         }
-        const size_t from = std::max(cursor_, scan_ > 3 ? scan_ - 3 : 0);
+        const size_t from = std::max(cursor_, scan_offset_ > 3 ? scan_offset_ - 3 : 0);
         const size_t end = buffer_.find("\r\n\r\n", from);
         if (end == std::string::npos) {
-          scan_ = buffer_.size();
-          if (buffer_.size() - cursor_ > max_head_) return Fail(431);
+          scan_offset_ = buffer_.size();
+          if (buffer_.size() - cursor_ > max_head_bytes_) return Fail(431);
           return Result::kMore;
         }
-        if (end - cursor_ > max_head_) return Fail(431);
+        if (end - cursor_ > max_head_bytes_) return Fail(431);
         const std::string_view head = std::string_view(buffer_).substr(cursor_, end - cursor_);
         const Result r = ParseHead(head);
         if (r == Result::kError) return r;
         cursor_ = end + 4;
         if (chunked_) {
           stage_ = Stage::kChunkSize;
-        } else if (need_ > 0) {
+        } else if (remaining_bytes_ > 0) {
           stage_ = Stage::kBody;
         } else {
           stage_ = Stage::kDone;
@@ -114,24 +115,24 @@
       }
       case Stage::kBody:
       case Stage::kChunkData: {
-        const size_t n = std::min(need_, buffer_.size() - cursor_);
+        const size_t n = std::min(remaining_bytes_, buffer_.size() - cursor_);
         message_.body.append(buffer_, cursor_, n);
         cursor_ += n;
-        need_ -= n;
-        if (need_ > 0) return Result::kMore;
+        remaining_bytes_ -= n;
+        if (remaining_bytes_ > 0) return Result::kMore;
         stage_ = stage_ == Stage::kBody ? Stage::kDone : Stage::kChunkEnd;
         break;
       }
       case Stage::kChunkSize: {
         std::string_view line;
         if (!NextLine(&line)) {
-          return buffer_.size() - cursor_ > kMaxChunkLine ? Fail(400) : Result::kMore;
+          return buffer_.size() - cursor_ > kMaxChunkLineBytes ? Fail(400) : Result::kMore;
         }
-        if (line.size() > kMaxChunkLine) return Fail(400);
+        if (line.size() > kMaxChunkLineBytes) return Fail(400);
         const std::string_view size = Trim(line.substr(0, line.find(';')));
-        if (!ParseHex(size, &need_)) return Fail(400);
-        if (need_ > max_body_ - message_.body.size()) return Fail(413);
-        stage_ = need_ == 0 ? Stage::kTrailer : Stage::kChunkData;
+        if (!ParseHex(size, &remaining_bytes_)) return Fail(400);
+        if (remaining_bytes_ > max_body_bytes_ - message_.body.size()) return Fail(413);
+        stage_ = remaining_bytes_ == 0 ? Stage::kTrailer : Stage::kChunkData;
         break;
       }
       case Stage::kChunkEnd: {
@@ -144,10 +145,10 @@
       case Stage::kTrailer: {
         std::string_view line;
         if (!NextLine(&line)) {
-          return buffer_.size() - cursor_ > max_head_ ? Fail(431) : Result::kMore;
+          return buffer_.size() - cursor_ > max_head_bytes_ ? Fail(431) : Result::kMore;
         }
-        trailer_ += line.size();
-        if (trailer_ > max_head_) return Fail(431);
+        trailer_bytes_ += line.size();
+        if (trailer_bytes_ > max_head_bytes_) return Fail(431);
         if (line.empty()) stage_ = Stage::kDone;
         break;
       }
@@ -160,7 +161,7 @@
 HttpParser::Result HttpParser::ParseHead(std::string_view head) {
   message_ = HttpMessage();
   has_length_ = chunked_ = expect_continue_ = false;
-  need_ = trailer_ = 0;
+  remaining_bytes_ = trailer_bytes_ = 0;
   bool first = true;
   while (!head.empty() || first) {
     const size_t at = head.find("\r\n");
@@ -173,14 +174,15 @@
       return Fail(400);
     }
   }
-  // Both lengths given: somebody on the way may see another message end.
+  // With both a chunked encoding and a Content-Length, an intermediary may determine a different
+  // end of the message (request smuggling).
   if (chunked_ && has_length_) return Fail(400);
-  if (need_ > max_body_) return Fail(413);
+  if (remaining_bytes_ > max_body_bytes_) return Fail(413);
   const bool no_body = message_.status == 204 || message_.status == 304;
   if (kind_ == Kind::kResponse && !no_body && !chunked_ && !has_length_) return Fail(400);
   if (no_body) {
     chunked_ = false;
-    need_ = 0;
+    remaining_bytes_ = 0;
   }
   return Result::kMore;
 }
@@ -213,8 +215,8 @@
     if (version.substr(0, 5) == "HTTP/") error_status_ = 505;
     return false;
   }
-  minor_ = version.back() - '0';
-  message_.keep_alive = minor_ == 1;
+  minor_version_ = version.back() - '0';
+  message_.keep_alive = minor_version_ == 1;
   return true;
 }
 
@@ -229,11 +231,11 @@
   if (name == "content-length") {
     size_t n = 0;
     if (!ParseDecimal(value, &n)) return false;
-    if (has_length_ && n != need_) return false;
+    if (has_length_ && n != remaining_bytes_) return false;
     has_length_ = true;
-    need_ = n;
+    remaining_bytes_ = n;
   } else if (name == "transfer-encoding") {
-    if (chunked_ || Lower(value) != "chunked" || minor_ == 0) return false;
+    if (chunked_ || Lower(value) != "chunked" || minor_version_ == 0) return false;
     chunked_ = true;
   } else if (name == "connection") {
     const std::string v = Lower(value);
@@ -250,7 +252,7 @@
 
 HttpMessage HttpParser::Take() {
   stage_ = Stage::kHead;
-  scan_ = cursor_;
+  scan_offset_ = cursor_;
   expect_continue_ = false;
   return std::exchange(message_, HttpMessage());
 }
--- a/src/wire/job_codec.cc
+++ b/src/wire/job_codec.cc
@@ -1,6 +1,6 @@
-// Jobs on the wire.
+// Names on the wire and the terms that the code uses for them:
 //
-//   wire word    term
+//   wire name    term
 //   name_id      job id
 //   clase        job class
 //   cuadrilla    team
@@ -29,7 +29,7 @@
 namespace deckhall {
 namespace {
 
-using Check = Result<void, JobSpecError>;
+using FieldResult = Result<void, JobSpecError>;
 
 constexpr uint32_t kMaxTasks = 100000;
 constexpr double kMaxAmount = 1e9;
@@ -45,7 +45,7 @@
                                                  {JobState::kDone, "done"},
                                                  {JobState::kCancelled, "aborted"}};
 
-// What a job's tasks are to each other.
+// How the tasks of a job relate to each other.
 enum class JobKind { kArray, kService, kGang };
 constexpr EnumWord<JobKind> kJobKindWords[] = {
     {JobKind::kArray, "sweep"}, {JobKind::kService, "daemon"}, {JobKind::kGang, "ensemble"}};
@@ -80,13 +80,13 @@
   return amount;
 }
 
-// An amount that may be left out: 0.
+// A missing or null amount is 0.
 Result<double, JobSpecError> ReadOptionalAmount(const JsonValue& object, const char* field) {
   if (JsonMember(object, field) == nullptr) return 0.0;
   return ReadAmount(object, field);
 }
 
-// Absent or null is false; anything but a boolean is an error.
+// A missing or null flag is false. Any other value that is not a boolean is an error.
 Result<bool, JobSpecError> ReadFlag(const JsonValue& object, const char* field) {
   bool flag = false;
   if (JsonMember(object, field) != nullptr && !JsonBool(object, field, &flag)) {
@@ -105,8 +105,8 @@
   return *value;
 }
 
-// Who asks, for what kind of job.
-Check ReadIdentity(const JsonValue& object, JobSpec* job) {
+// Reads the id, class, team, kind and priority.
+FieldResult ReadIdentity(const JsonValue& object, JobSpec* job) {
   if (!JsonString(object, "name_id", &job->id) || !ValidJobId(job->id)) {
     return InvalidField("name_id");
   }
@@ -122,8 +122,8 @@
   return Success();
 }
 
-// What the tasks take of their machines.
-Check ReadRequirements(const JsonValue& object, JobSpec* job) {
+// Reads the number of tasks and the resources and image of each.
+FieldResult ReadRequirements(const JsonValue& object, JobSpec* job) {
   uint64_t task_count = 0;
   if (!JsonU64(object, "faenas", &task_count) || task_count == 0 || task_count > kMaxTasks) {
     return InvalidField("faenas");
@@ -154,8 +154,8 @@
   return names;
 }
 
-// Which machines the tasks may be on.
-Check ReadConstraints(const JsonValue& object, JobSpec* job) {
+// Reads the placement constraints.
+FieldResult ReadConstraints(const JsonValue& object, JobSpec* job) {
   if (const JsonValue* types = JsonMember(object, "cascos")) {
     BOOST_OUTCOME_TRY(names, ReadTypeNames(*types));
     job->allowed_types = std::move(names);
@@ -173,7 +173,7 @@
   return Success();
 }
 
-Check ReadTimes(const JsonValue& object, JobSpec* job) {
+FieldResult ReadTimes(const JsonValue& object, JobSpec* job) {
   BOOST_OUTCOME_TRY(estimated_runtime_s, ReadAmount(object, "rumbo_s"));
   job->estimated_runtime_s = estimated_runtime_s;
   BOOST_OUTCOME_TRY(checkpoint_interval_s, ReadOptionalAmount(object, "bitacora_s"));
--- a/src/wire/job_codec.h
+++ b/src/wire/job_codec.h
@@ -1,8 +1,8 @@
-// Jobs and responses about them, as users send and read them (PROTOCOL, "Users -> controller
-// nodes"), and as the stored rows of jobs hold them.
+// JSON codec of job submissions and their responses (PROTOCOL, "Users -> controller nodes"). Stored
+// job records use the same encoding of a JobSpec.
 //
-// A JobSpec that was read is valid: names are printable, amounts are finite and not negative.
-// Functions keep no state and are safe to call from anywhere.
+// Every decoded JobSpec is valid: names are printable, amounts are finite and not negative.
+// All functions are stateless and thread-safe.
 #pragma once
 
 #include <string>
@@ -16,38 +16,37 @@
 
 enum class JobSpecErrorKind { kNotJson, kNotObject, kInvalidField };
 
-// Why a body is no valid job.
+// The reason that a body is not a valid job.
 struct JobSpecError {
   JobSpecErrorKind kind;
-  std::string field = {};  // of kInvalidField: missing or invalid; its word on the wire
+  std::string field = {};  // only with kInvalidField: the field's name on the wire
 };
 
-// The error in words, for the body of a 400.
+// Error text for the body of a response 400.
 std::string DescribeError(const JobSpecError& error);
 
-// What a submission asks for.
+// Result of parsing a submission.
 struct JobSubmission {
-  // Empty when the body has no usable one. Known apart from the job, so that a job that was
-  // accepted before is answered even when the body is invalid.
+  // Empty if the body has no valid id. Separate from `spec`, so that a resubmission of an accepted
+  // job gets the response about that job even if the body is invalid.
   std::string job_id;
   Result<JobSpec, JobSpecError> spec;
 };
 
-// True for ids of the form users choose: "job-" and 1 to 20 digits.
+// True if the id is "job-" followed by 1 to 20 digits.
 bool ValidJobId(std::string_view id);
 
-// Reads the body of a submission.
 JobSubmission ParseJob(std::string_view body);
-// Reads a job from a parsed object. The first field that is wrong is named.
+// Reads a job from a parsed object. The error names the first invalid field.
 Result<JobSpec, JobSpecError> ReadJob(const JsonValue& object);
 // Writes the object that ReadJob reads.
 void WriteJob(JsonWriter& writer, const JobSpec& job);
 
-// The state as users read it.
+// Name of the state on the wire.
 const char* JobStateWord(JobState state);
-// The body of the response to a request; the reason when it is neither 200 nor 201.
+// Body of the response to a request: the job state with status 200 or 201, else the error.
 std::string EncodeJobResponse(const JobRequest& request, const JobResponse& response);
-// {"error":...}
+// Returns {"error":...}.
 std::string EncodeError(std::string_view error);
 
 }  // namespace deckhall
--- a/src/wire/json.h
+++ b/src/wire/json.h
@@ -1,4 +1,4 @@
-// Small helpers over RapidJSON, so that codecs read fields the same way.
+// RapidJSON helpers that give all codecs the same rules for reading fields.
 #pragma once
 
 #define RAPIDJSON_HAS_STDSTRING 1
@@ -15,10 +15,12 @@
 using JsonValue = rapidjson::Value;
 using JsonWriter = rapidjson::Writer<rapidjson::StringBuffer>;
 
-// False unless the text is one JSON document. Nesting costs no stack.
+// Returns false unless the text is exactly one JSON document. Parses iteratively, so that deeply
+// nested input cannot exhaust the stack.
 bool ParseJson(std::string_view text, rapidjson::Document* doc);
 
-// Member lookup; null members count as missing.
+// Returns the member, or null if it is missing or a JSON null. The typed functions below return
+// false in that case, and if the type does not match.
 const JsonValue* JsonMember(const JsonValue& object, const char* name);
 bool JsonString(const JsonValue& object, const char* name, std::string* out);
 bool JsonNumber(const JsonValue& object, const char* name, double* out);
--- a/src/wire/key_value_codec.cc
+++ b/src/wire/key_value_codec.cc
@@ -1,6 +1,6 @@
-// Messages of the state service.
+// Names on the wire and the terms that the code uses for them:
 //
-//   wire word   term
+//   wire name   term
 //   huella      version of a key
 //   marea       revision of the store
 //   amarre      lease
--- a/src/wire/key_value_codec.h
+++ b/src/wire/key_value_codec.h
@@ -1,8 +1,7 @@
-// Messages of the state service (PROTOCOL, "Controller nodes -> state service").
+// JSON codec of the state service (PROTOCOL, "Controller nodes -> state service").
 //
-// Values are JSON text: one that was read is rendered anew, without white space.
-// Functions keep no state and are safe to call from anywhere. A decoder's result is empty
-// when the body is malformed.
+// Values are JSON text. Decoded values are serialized again, without white space.
+// All functions are stateless and thread-safe. Decoders return nothing if the body is malformed.
 #pragma once
 
 #include <cstdint>
@@ -18,44 +17,44 @@
 struct KeyValue {
   std::string key;
   std::string value;     // JSON text
-  uint64_t version = 0;  // the revision of its last change
+  uint64_t version = 0;  // revision of the last change of the key
 };
 
-// The transaction is carried out only when the key has this version.
+// The transaction is committed only if the key has this version.
 struct Precondition {
   std::string key;
-  uint64_t version = 0;  // 0: the key doesn't exist
+  uint64_t version = 0;  // 0 if the key must not exist
 };
 
-// A put, or a delete.
+// Writes or deletes a key.
 struct Mutation {
   std::string key;
-  std::string value;   // JSON text; empty deletes
-  uint64_t lease = 0;  // the key goes when this lease ends; 0: it stays
+  std::string value;   // JSON text; the key is deleted if empty
+  uint64_t lease = 0;  // the key is deleted when this lease ends; 0 for no lease
 };
 
-// A compare-and-swap: all mutations, or none.
+// Atomic compare-and-swap: applies all mutations if every precondition holds, else none.
 struct Transaction {
   std::vector<Precondition> preconditions;
   std::vector<Mutation> mutations;
 };
 
-// Entries in the order of their keys.
+// One page of entries, sorted by key.
 struct KeyValuePage {
   std::vector<KeyValue> entries;
-  bool truncated = false;  // more follow the last one
-  uint64_t revision = 0;   // of the store, at the time of the list
+  bool truncated = false;  // further pages follow
+  uint64_t revision = 0;   // of the store when the page was read
 };
 
 std::string EncodeTransaction(const Transaction& transaction);
-// `ttl_ms`: the lease ends when it is not kept alive for so many milliseconds.
+// The lease ends if it is not renewed for `ttl_ms` milliseconds.
 std::string EncodeLeaseGrant(int ttl_ms);
 
 std::optional<KeyValue> DecodeKeyValue(std::string_view body);
 std::optional<KeyValuePage> DecodeKeyValues(std::string_view body);
-// Any answer with a revision: a transaction's, a watch's, a 404's.
+// Reads the revision from the response to a transaction or a watch, or from a 404.
 std::optional<uint64_t> DecodeRevision(std::string_view body);
-// The lease's id, never 0.
+// Id of the lease, never 0.
 std::optional<uint64_t> DecodeLeaseGrant(std::string_view body);
 
 }  // namespace deckhall
--- a/src/wire/mesh.capnp
+++ b/src/wire/mesh.capnp
@@ -3,12 +3,12 @@
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("deckhall::mesh");
 
-# What passes between the controllers of one deployment.
+# Messages between the controllers of one deployment.
 
 struct Frame {
-  id @0 :UInt64;          # chosen by the asker; replies repeat it
-  target @1 :Text;        # label of the node that must answer; others pass it on
-  hops @2 :UInt8;         # how often it was passed on
+  id @0 :UInt64;          # chosen by the caller; the response has the same id
+  target @1 :Text;        # label of the destination controller; others forward the frame
+  hops @2 :UInt8;         # number of times the frame was forwarded
   union {
     none @3 :Void;
     ping @4 :Ping;
@@ -22,12 +22,12 @@
 struct Ping {
   label @0 :Text;
   instance @1 :UInt64;
-  leading @2 :Bool;       # sender trusts its own lease now
-  term @3 :UInt64;        # highest term the sender knows of
-  leader @4 :Text;        # label of that term's holder
-  reaches @5 :List(Text); # peers it heard lately
-  holding @6 :Bool;       # sender still answers reports for its term
-  informed @7 :Bool;      # the term is what the state service showed this process
+  leading @2 :Bool;       # the sender considers its own lease valid
+  term @3 :UInt64;        # highest term known to the sender
+  leader @4 :Text;        # label of that term's leader, empty if unknown
+  reaches @5 :List(Text); # labels of the peers heard from recently
+  holding @6 :Bool;       # the sender still answers reports for its term
+  informed @7 :Bool;      # the sender's process has read the term from the state service
 }
 
 struct Job {
@@ -51,14 +51,14 @@
   estimateS @17 :Float64;
   checkpointS @18 :Float64;
   saveS @19 :Float64;
-  deadlineS @20 :Float64; # negative: none
+  deadlineS @20 :Float64; # negative if unset
   gang @21 :Bool;
 }
 
 struct UserRequest {
   op @0 :UInt8;           # 0 get, 1 cancel, 2 submit
   id @1 :Text;
-  invalid @2 :Text;       # submit: why the body is not valid; asked only for known ids
+  invalid @2 :Text;       # submit: the fault in the body, empty if valid; known jobs ignore it
   job @3 :Job;
 }
 
@@ -88,7 +88,7 @@
   session @5 :UInt64;
   seq @6 :UInt64;
   token @7 :UInt64;
-  noticeS @8 :Float64;    # negative: none
+  noticeS @8 :Float64;    # negative if unset
   tasks @9 :List(TaskReport);
 }
 
--- a/src/wire/peer_codec.cc
+++ b/src/wire/peer_codec.cc
@@ -1,6 +1,6 @@
-// Frames between the controllers. mesh.capnp keeps the names it was written with:
+// Names in mesh.capnp, which stay stable, and the terms that the code uses for them:
 //
-//   schema             term
+//   schema name        term
 //   Report             heartbeat
 //   ReportResponse     heartbeat response
 //   UserRequest        job request
@@ -13,10 +13,10 @@
 //   session            agent epoch
 //   seq                sequence number
 //   token              fencing token
-//   noticeS            preemption notice; negative: none
+//   noticeS            preemption notice; negative if unset
 //   why                exit reason
 //   saved              checkpointed
-//   reportTo           the controller to report to
+//   reportTo           label of the leader to send heartbeats to
 //   Ping.leading       lease is valid
 //   Ping.holding       holds the leader key
 //   Ping.informed      term is confirmed
@@ -36,18 +36,18 @@
 namespace {
 
 constexpr int kLengthBytes = 4;
-constexpr double kAbsent = -1;  // of a number that is never negative
+constexpr double kAbsent = -1;  // stands for an unset number that is otherwise never negative
 
 std::string ToString(capnp::Text::Reader text) { return {text.cStr(), text.size()}; }
 capnp::Text::Reader ToText(const std::string& text) { return {text.c_str(), text.size()}; }
 
-// Enums go over the wire as their numbers. One that a later version added becomes `otherwise`.
+// Enums are sent as numbers. Values added by a later version are replaced by `otherwise`.
 template <class Enum>
 Enum ToEnum(uint8_t number, Enum last, Enum otherwise) {
   return number > static_cast<uint8_t>(last) ? otherwise : static_cast<Enum>(number);
 }
 
-// Of enums with four values: only the lower two bits count.
+// For enums with exactly four values. Only the lower two bits are used.
 template <class Enum>
 Enum ToEnumOfFour(uint8_t number) {
   return static_cast<Enum>(number & 3);
@@ -316,7 +316,7 @@
 
 std::optional<PeerFrame> DecodeFrame(std::string_view bytes) {
   if (bytes.empty() || bytes.size() % sizeof(capnp::word) != 0) return std::nullopt;
-  // The reader needs the words aligned.
+  // The Cap'n Proto reader needs word-aligned data.
   auto words = kj::heapArray<capnp::word>(bytes.size() / sizeof(capnp::word));
   std::memcpy(words.begin(), bytes.data(), bytes.size());
   std::optional<PeerFrame> frame;
--- a/src/wire/peer_codec.h
+++ b/src/wire/peer_codec.h
@@ -1,8 +1,8 @@
-// Cap'n Proto frames between the controllers. On a connection each frame is a little-endian
-// 32-bit length and a flat message.
+// Cap'n Proto frames that the controllers exchange. On a connection, each frame is a little-endian
+// 32-bit length in bytes followed by a flat message.
 //
-// Frames of controllers of other versions are read: unknown fields are ignored, unknown values of
-// enums are replaced. Functions keep no state and are safe to call from anywhere.
+// Frames of other versions are compatible: unknown fields are ignored, unknown enum values are
+// replaced by known ones. All functions are stateless and thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -17,33 +17,33 @@
 
 namespace deckhall {
 
-// What a controller tells the others about itself, over and over.
+// State that a controller periodically sends to its peers.
 struct PeerPing {
-  std::string label;              // the sender's
-  uint64_t instance = 0;          // differs after each start of its process
-  bool lease_valid = false;       // it trusts its own lease now
-  bool holds_leader_key = false;  // it still answers heartbeats for its term
-  bool term_confirmed = false;    // the term is what the state service showed this process
-  uint64_t term = 0;              // the highest it knows
-  std::string leader;             // of that term; empty: not known
-  std::vector<std::string> reachable_peers;  // labels of those it heard lately
+  std::string label;              // of the sender
+  uint64_t instance = 0;          // differs after each restart of the process
+  bool lease_valid = false;       // the sender considers its own lease valid
+  bool holds_leader_key = false;  // the sender still answers heartbeats for its term
+  bool term_confirmed = false;    // the sender's process has read the term from the state service
+  uint64_t term = 0;              // the highest known term
+  std::string leader;             // label of that term's leader, empty if unknown
+  std::vector<std::string> reachable_peers;  // labels of the peers heard from recently
 };
 
-// One message, and where it goes.
+// A message and its routing data.
 struct PeerFrame {
-  uint64_t id = 0;     // of a call; its response has the same
-  std::string target;  // label of the controller it is for
-  uint8_t hops = 0;    // how often it was passed on
+  uint64_t id = 0;     // of the call; its response has the same id
+  std::string target;  // label of the destination controller
+  uint8_t hops = 0;    // number of times the frame was forwarded
   std::variant<std::monostate, PeerPing, JobRequest, JobResponse, Heartbeat, HeartbeatResponse>
       body;
 };
 
-// Bytes of the longest frame that is accepted, without its length.
-constexpr size_t kMaxFrame = 4 << 20;
+// Longest accepted frame, without its length prefix.
+constexpr size_t kMaxFrameBytes = 4 << 20;
 
-// Appends the frame, length first.
+// Appends the frame with its length prefix.
 void EncodeFrame(const PeerFrame& frame, std::string* out);
-// `bytes` are the message without its length. Empty when they are no frame.
+// `bytes` is the frame without its length prefix. Returns nothing if the frame is not valid.
 std::optional<PeerFrame> DecodeFrame(std::string_view bytes);
 
 }  // namespace deckhall
--- a/src/wire/worker_codec.cc
+++ b/src/wire/worker_codec.cc
@@ -1,6 +1,6 @@
-// Messages of workers.
+// Names on the wire and the terms that the code uses for them:
 //
-//   wire word    term
+//   wire name    term
 //   cubierta     machine name
 //   casco        machine type
 //   muelle       zone
@@ -9,7 +9,8 @@
 //   correlativo  sequence number
 //   mando        fencing token
 //   aviso_s      preemption notice
-//   faenas       tasks; faena: the name of one
+//   faenas       tasks
+//   faena        task name
 //   intento      attempt
 //   estado       task state
 //   motivo       exit reason
@@ -17,7 +18,7 @@
 //   ordenes      commands
 //   maniobra     operation of a command
 //   tregua_s     grace period
-//   capitan      the controller to report to
+//   capitan      label of the leader to send heartbeats to
 #include "wire/worker_codec.h"
 
 #include <utility>
@@ -38,16 +39,16 @@
 constexpr EnumWord<ExitReason> kExitReasonWords[] = {{ExitReason::kDone, "done"},
                                                      {ExitReason::kStopped, "stopped"},
                                                      {ExitReason::kError, "error"},
-                                                     {ExitReason::kNoRoom, "no_room"},
-                                                     {ExitReason::kInUse, "in_use"},
-                                                     {ExitReason::kUnknown, "unknown"},
+                                                     {ExitReason::kInsufficientCapacity, "no_room"},
+                                                     {ExitReason::kAttemptConflict, "in_use"},
+                                                     {ExitReason::kUnknownTask, "unknown"},
                                                      {ExitReason::kGangMemberLost, "peers"},
                                                      {ExitReason::kGangIncomplete, "incomplete"}};
 constexpr EnumWord<CommandOp> kCommandWords[] = {{CommandOp::kStart, "launch"},
                                                  {CommandOp::kStop, "stop"},
                                                  {CommandOp::kAcknowledgeExit, "clear"}};
 
-// A reason we do not know is treated like a failure: the task is not done.
+// An unknown reason is treated as an error, so that the task does not count as done.
 ExitReason ReadExitReason(const JsonValue& row) {
   std::string word;
   JsonString(row, "motivo", &word);
@@ -71,7 +72,7 @@
   return status;
 }
 
-// What a heartbeat says of the machine itself.
+// Reads the fields of a heartbeat that describe the machine.
 bool ReadMachine(const JsonValue& document, Heartbeat* heartbeat) {
   if (!JsonString(document, "cubierta", &heartbeat->machine) || heartbeat->machine.empty() ||
       heartbeat->machine.size() > kMaxMachineNameBytes) {
--- a/src/wire/worker_codec.h
+++ b/src/wire/worker_codec.h
@@ -1,8 +1,8 @@
-// Heartbeats of workers and commands to them (PROTOCOL, "Workers -> controller nodes" and
-// "Controller nodes -> workers"), both ways: controllers use the one side, the workers of the
-// tests the other.
+// JSON codec of worker heartbeats and commands (PROTOCOL, "Workers -> controller nodes" and
+// "Controller nodes -> workers"). Both directions are implemented: controllers use one of them, the
+// simulated workers of the tests the other.
 //
-// Functions keep no state and are safe to call from anywhere.
+// All functions are stateless and thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -15,23 +15,23 @@
 
 namespace deckhall {
 
-// What a worker is told, by /do or in the response to its heartbeat.
+// Commands sent to a worker, by POST /do or in the response to its heartbeat.
 struct WorkerCommands {
   uint64_t fencing_token = 0;
-  uint64_t agent_epoch = 0;  // 0 in a response to a heartbeat, which has none
+  uint64_t agent_epoch = 0;  // 0 in a response to a heartbeat, which carries no epoch
   std::vector<Command> commands;
 };
 
-// Empty when the body is malformed, or names a task state that isn't known.
+// Returns nothing if the body is malformed or has an unknown task state.
 std::optional<Heartbeat> DecodeHeartbeat(std::string_view body);
 std::string EncodeHeartbeat(const Heartbeat& heartbeat);
 
-// The body of the response to a heartbeat.
+// Body of the response to a heartbeat.
 std::string EncodeHeartbeatResponse(const HeartbeatResponse& response);
-// The body of a POST /do.
+// Body of a POST /do request.
 std::string EncodeCommands(uint64_t fencing_token, uint64_t agent_epoch,
                            const std::vector<Command>& commands);
-// Empty when the body is malformed. Commands whose operation isn't known are left out.
+// Returns nothing if the body is malformed. Skips commands with an unknown operation.
 std::optional<WorkerCommands> DecodeCommands(std::string_view body);
 
 }  // namespace deckhall
--- a/tests/cluster.cc
+++ b/tests/cluster.cc
@@ -623,10 +623,11 @@
       std::any_of(w->report.tasks.begin(), w->report.tasks.end(), [&c](const TaskStatus& o) {
         return o.task_name == c.task_name && o.state != TaskState::kExited;
       });
-  if (!specs_.contains(job)) return refuse(ExitReason::kUnknown);
-  if (here) return refuse(ExitReason::kInUse);
+  if (!specs_.contains(job)) return refuse(ExitReason::kUnknownTask);
+  if (here) return refuse(ExitReason::kAttemptConflict);
   const JobSpec& spec = specs_.at(job);
-  if (Used(*w) + spec.cores > cloud_.types[0].cores + 1e-6) return refuse(ExitReason::kNoRoom);
+  if (Used(*w) + spec.cores > cloud_.types[0].cores + 1e-6)
+    return refuse(ExitReason::kInsufficientCapacity);
   if (spec.gang) t.state = TaskState::kWaitingForGang;
   w->report.tasks.push_back(t);
   if (!spec.service && !spec.gang) w->ends_at[c.task_name] = clock_.now + run_s + task * spread_s;
--- a/tests/gang_test.cc
+++ b/tests/gang_test.cc
@@ -65,7 +65,7 @@
   w.Pass(0.5);
   ASSERT_EQ(w.In("job-1", TaskState::kWaitingForGang), 6U);
   const std::set<uint64_t> attempt = w.Attempts("job-1");
-  a.End(a.report.tasks.back().task_name, ExitReason::kNoRoom);
+  a.End(a.report.tasks.back().task_name, ExitReason::kInsufficientCapacity);
   w.Box("m-3", "east");
   w.Run(4);
   EXPECT_EQ(w.In("job-1", TaskState::kRunning), 6U);
@@ -287,7 +287,7 @@
   w.Pass(0.5);
   const std::set<uint64_t> first = w.Attempts("job-1");
   const std::string lost = a.report.tasks.back().task_name;
-  a.End(lost, ExitReason::kNoRoom);
+  a.End(lost, ExitReason::kInsufficientCapacity);
   w.Box("m-3", "east");
   w.Lead();
   w.Run(6);
--- a/tests/golden_wire_test.cc
+++ b/tests/golden_wire_test.cc
@@ -79,9 +79,9 @@
       {"job-000412/4", 5, TaskState::kExited, ExitReason::kDone, false},
       {"job-000412/5", 6, TaskState::kExited, ExitReason::kStopped, true},
       {"job-000412/6", 7, TaskState::kExited, ExitReason::kError, false},
-      {"job-000412/7", 8, TaskState::kExited, ExitReason::kNoRoom, false},
-      {"job-000412/8", 9, TaskState::kExited, ExitReason::kInUse, false},
-      {"job-000412/9", 10, TaskState::kExited, ExitReason::kUnknown, false},
+      {"job-000412/7", 8, TaskState::kExited, ExitReason::kInsufficientCapacity, false},
+      {"job-000412/8", 9, TaskState::kExited, ExitReason::kAttemptConflict, false},
+      {"job-000412/9", 10, TaskState::kExited, ExitReason::kUnknownTask, false},
       {"job-000412/10", 11, TaskState::kExited, ExitReason::kGangMemberLost, false},
       {"job-000412/11", 12, TaskState::kExited, ExitReason::kGangIncomplete, false},
   };
--- a/tests/http_api_test.cc
+++ b/tests/http_api_test.cc
@@ -16,20 +16,20 @@
 
 class HttpApiTest : public testing::Test {
  protected:
-  HttpAnswer Send(const std::string& method, const std::string& target,
-                  const std::string& body = "") {
+  HttpResponse Send(const std::string& method, const std::string& target,
+                    const std::string& body = "") {
     HttpMessage request;
     request.method = method;
     request.target = target;
     request.body = body;
-    std::optional<HttpAnswer> answer;
-    api_.Handle(request, [&answer](HttpAnswer given) { answer = std::move(given); });
+    std::optional<HttpResponse> answer;
+    api_.Handle(request, [&answer](HttpResponse given) { answer = std::move(given); });
     EXPECT_TRUE(answer.has_value()) << method << " " << target;
-    return answer.value_or(HttpAnswer());
+    return answer.value_or(HttpResponse());
   }
   std::string StatusAndBody(const std::string& method, const std::string& target,
                             const std::string& body = "") {
-    const HttpAnswer answer = Send(method, target, body);
+    const HttpResponse answer = Send(method, target, body);
     return std::to_string(answer.status) + " " + answer.body;
   }
 
@@ -87,7 +87,7 @@
       {"/api/jobs/cancel", "GET"},
       {"/api/jobs/job-1/cancel", "POST"}};
   for (const auto& [path, method] : allowed) {
-    const HttpAnswer answer = Send(method == "GET" ? "POST" : "GET", path);
+    const HttpResponse answer = Send(method == "GET" ? "POST" : "GET", path);
     EXPECT_EQ(answer.status, 405) << path;
     EXPECT_EQ(answer.allow, method) << path;
     EXPECT_EQ(answer.body, R"({"error":"method not allowed"})") << path;
@@ -128,7 +128,7 @@
 
 TEST_F(HttpApiTest, AnInvalidSubmissionWithAUsableIdReachesTheBackend) {
   job_response_ = UnavailableResponse("no leader can be reached", 2);
-  const HttpAnswer answer = Send("POST", "/api/jobs", R"({"name_id":"job-7"})");
+  const HttpResponse answer = Send("POST", "/api/jobs", R"({"name_id":"job-7"})");
   EXPECT_EQ(answer.status, 503);
   EXPECT_EQ(answer.retry_after_s, 2);
   EXPECT_EQ(answer.body, R"({"error":"no leader can be reached"})");
--- a/tests/loopback_fleet.cc
+++ b/tests/loopback_fleet.cc
@@ -13,8 +13,8 @@
 constexpr double kLeastBetweenReports = 0.5;
 constexpr double kReportTimeout = 4;
 
-HttpAnswer Answer(int status, std::string body) {
-  HttpAnswer answer;
+HttpResponse Answer(int status, std::string body) {
+  HttpResponse answer;
   answer.status = status;
   answer.body = std::move(body);
   return answer;
@@ -78,7 +78,7 @@
   }
 }
 
-HttpAnswer LoopbackFleet::Flavors() const {
+HttpResponse LoopbackFleet::Flavors() const {
   std::string zones;
   for (const LoopbackZone& zone : options_.zones) {
     zones += (zones.empty() ? "\"" : ",\"") + zone.name + "\"";
@@ -94,7 +94,7 @@
   return Answer(200, "{\"cascos\":[" + rows + "]}");
 }
 
-HttpAnswer LoopbackFleet::Rent(const std::string& body) {
+HttpResponse LoopbackFleet::Rent(const std::string& body) {
   rapidjson::Document doc;
   std::string request;
   std::string type;
@@ -125,14 +125,14 @@
   return Answer(200, rented_[request]);
 }
 
-HttpAnswer LoopbackFleet::Return(const std::string& body) {
+HttpResponse LoopbackFleet::Return(const std::string& body) {
   rapidjson::Document doc;
   if (!ParseJson(body, &doc)) return Answer(400, "{}");
   for (const auto& name : doc["cubiertas"].GetArray()) Remove(name.GetString(), "returned");
   return Answer(200, "{}");
 }
 
-HttpAnswer LoopbackFleet::List() const {
+HttpResponse LoopbackFleet::List() const {
   std::string rows;
   for (const auto& [name, w] : workers_) {
     if (w->state == "returned") continue;
@@ -221,11 +221,11 @@
   });
   ExitReason refused = ExitReason::kNone;
   if (job == jobs_.end()) {
-    refused = ExitReason::kUnknown;
+    refused = ExitReason::kUnknownTask;
   } else if (here) {
-    refused = ExitReason::kInUse;
+    refused = ExitReason::kAttemptConflict;
   } else if (worker->Used(jobs_) + job->second.cores > options_.cores + 1e-6) {
-    refused = ExitReason::kNoRoom;
+    refused = ExitReason::kInsufficientCapacity;
   }
   tasks.push_back(
       {command.task_name, command.attempt, TaskState::kFetching, ExitReason::kNone, false});
--- a/tests/loopback_fleet.h
+++ b/tests/loopback_fleet.h
@@ -55,10 +55,10 @@
  private:
   struct Worker;
   void Cloud(const HttpMessage& request, const HttpServer::Reply& reply);
-  HttpAnswer Flavors() const;
-  HttpAnswer Rent(const std::string& body);
-  HttpAnswer Return(const std::string& body);
-  HttpAnswer List() const;
+  HttpResponse Flavors() const;
+  HttpResponse Rent(const std::string& body);
+  HttpResponse Return(const std::string& body);
+  HttpResponse List() const;
   void Boot(Worker* worker);
   void Remove(const std::string& machine, const char* state);
   void Handle(Worker* worker, const HttpMessage& request, const HttpServer::Reply& reply);
--- a/tests/loopback_state.cc
+++ b/tests/loopback_state.cc
@@ -11,8 +11,8 @@
 
 constexpr double kTickSeconds = 0.02;
 
-HttpAnswer Answer(int status, std::string body) {
-  HttpAnswer answer;
+HttpResponse Answer(int status, std::string body) {
+  HttpResponse answer;
   answer.status = status;
   answer.body = std::move(body);
   return answer;
@@ -93,7 +93,7 @@
   }
 }
 
-HttpAnswer LoopbackState::Get(const std::string& key) const {
+HttpResponse LoopbackState::Get(const std::string& key) const {
   auto it = keys_.find(key);
   if (it == keys_.end()) return Answer(404, Revision());
   return Answer(200, "{\"key\":\"" + key + "\",\"data\":" + it->second.value +
@@ -101,8 +101,8 @@
                          ",\"amarre\":" + std::to_string(it->second.lease) + "}");
 }
 
-HttpAnswer LoopbackState::List(const std::string& prefix, const std::string& after,
-                               size_t page) const {
+HttpResponse LoopbackState::List(const std::string& prefix, const std::string& after,
+                                 size_t page) const {
   std::string rows;
   size_t count = 0;
   bool truncated = false;
@@ -118,7 +118,7 @@
                          ",\"marea\":" + std::to_string(revision_) + "}");
 }
 
-HttpAnswer LoopbackState::Commit(const std::string& body) {
+HttpResponse LoopbackState::Commit(const std::string& body) {
   rapidjson::Document doc;
   if (!ParseJson(body, &doc)) return Answer(400, "{}");
   if (const JsonValue* conditions = JsonMember(doc, "if")) {
@@ -153,7 +153,7 @@
   return Answer(200, Revision());
 }
 
-HttpAnswer LoopbackState::Grants(const HttpMessage& request) {
+HttpResponse LoopbackState::Grants(const HttpMessage& request) {
   constexpr std::string_view kPath = "/grants";
   if (request.target == kPath) {
     rapidjson::Document doc;
--- a/tests/loopback_state.h
+++ b/tests/loopback_state.h
@@ -43,10 +43,10 @@
   };
 
   void Handle(const HttpMessage& request, const HttpServer::Reply& reply);
-  HttpAnswer Get(const std::string& key) const;
-  HttpAnswer List(const std::string& prefix, const std::string& after, size_t page) const;
-  HttpAnswer Commit(const std::string& body);
-  HttpAnswer Grants(const HttpMessage& request);
+  HttpResponse Get(const std::string& key) const;
+  HttpResponse List(const std::string& prefix, const std::string& after, size_t page) const;
+  HttpResponse Commit(const std::string& body);
+  HttpResponse Grants(const HttpMessage& request);
   void EndLease(uint64_t lease);
   void Tick();
   bool ChangedAfter(const std::string& prefix, uint64_t revision) const;
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -43,7 +43,7 @@
                       if (request.target == "/slow") {
                         waiting = std::move(reply);
                       } else {
-                        reply(HttpAnswer());
+                        reply(HttpResponse());
                       }
                     });
   HttpClient slow(&loop, 1, 1000);
@@ -61,12 +61,12 @@
     RunFor(&loop, 0.05);
   }
   EXPECT_EQ(status, std::vector<int>(4, 200));
-  EXPECT_EQ(server.pushed_out(), 2U);
+  EXPECT_EQ(server.over_limit_connections(), 2U);
   EXPECT_EQ(clients[0]->connections(), 0U);
   EXPECT_EQ(clients[1]->connections(), 0U);
   EXPECT_EQ(clients[3]->connections(), 1U);
   ASSERT_TRUE(waiting);
-  waiting(HttpAnswer());
+  waiting(HttpResponse());
   RunFor(&loop, 0.05);
   EXPECT_EQ(slow_status, 200);
 }
