--- a/src/fleet/attempt_reconciler.cc
+++ b/src/fleet/attempt_reconciler.cc
@@ -24,8 +24,10 @@
 // Whether the image of the task is assumed to be cached. This is wrong for a task that was stopped
 // while its image was being fetched (see the ROADMAP).
 bool HasFetchedImage(const TaskStatus& status) {
-  return status.state != TaskState::kFetching && status.exit_reason != ExitReason::kNoRoom &&
-         status.exit_reason != ExitReason::kInUse && status.exit_reason != ExitReason::kUnknown;
+  return status.state != TaskState::kFetching &&
+         status.exit_reason != ExitReason::kInsufficientCapacity &&
+         status.exit_reason != ExitReason::kAttemptConflict &&
+         status.exit_reason != ExitReason::kUnknownTask;
 }
 
 // Moves `image` to the end, as the most recently used one, and drops the least recently used one
--- a/src/fleet/http_worker_client.h
+++ b/src/fleet/http_worker_client.h
@@ -13,7 +13,7 @@
                     const std::vector<Command>& commands, double timeout_s, Done done) override;
   void Probe(const std::string& endpoint, double timeout_s, Done done) override;
   // Closes connections that have been idle for 30 s.
-  void Trim() { http_.Trim(30); }
+  void Trim() { http_.CloseIdleConnections(30); }
 
  private:
   void Send(const std::string& endpoint, const HttpCall& call, Done done);
--- a/src/leader/gang_supervisor.cc
+++ b/src/leader/gang_supervisor.cc
@@ -55,9 +55,9 @@
   if (!job.spec.gang || attempt.number != job.gang_attempt) return;
   switch (attempt.exit_reason) {
     // The task was refused before it started, so another machine may run it; or it completed.
-    case ExitReason::kNoRoom:
-    case ExitReason::kInUse:
-    case ExitReason::kUnknown:
+    case ExitReason::kInsufficientCapacity:
+    case ExitReason::kAttemptConflict:
+    case ExitReason::kUnknownTask:
     case ExitReason::kDone:
       return;
     default:
--- a/tests/cluster.cc
+++ b/tests/cluster.cc
@@ -660,11 +660,11 @@
                                   return other.task_name == command.task_name &&
                                          other.state != TaskState::kExited;
                                 });
-  if (!specs_.contains(job)) return refuse(ExitReason::kUnknown);
-  if (here) return refuse(ExitReason::kInUse);
+  if (!specs_.contains(job)) return refuse(ExitReason::kUnknownTask);
+  if (here) return refuse(ExitReason::kAttemptConflict);
   const JobSpec& spec = specs_.at(job);
   if (UsedCores(*worker) + spec.cores > cloud_.types[0].cores + 1e-6)
-    return refuse(ExitReason::kNoRoom);
+    return refuse(ExitReason::kInsufficientCapacity);
   if (spec.gang) status.state = TaskState::kWaitingForGang;
   worker->heartbeat.tasks.push_back(status);
   if (!spec.service && !spec.gang)
--- a/tests/gang_test.cc
+++ b/tests/gang_test.cc
@@ -65,7 +65,7 @@
   w.AdvanceTime(0.5);
   ASSERT_EQ(w.TasksInState("job-1", TaskState::kWaitingForGang), 6U);
   const std::set<uint64_t> attempt = w.Attempts("job-1");
-  a.EndTask(a.heartbeat.tasks.back().task_name, ExitReason::kNoRoom);
+  a.EndTask(a.heartbeat.tasks.back().task_name, ExitReason::kInsufficientCapacity);
   w.AddGangMachine("m-3", "east");
   w.Run(4);
   EXPECT_EQ(w.TasksInState("job-1", TaskState::kRunning), 6U);
@@ -287,7 +287,7 @@
   w.AdvanceTime(0.5);
   const std::set<uint64_t> first = w.Attempts("job-1");
   const std::string lost = a.heartbeat.tasks.back().task_name;
-  a.EndTask(lost, ExitReason::kNoRoom);
+  a.EndTask(lost, ExitReason::kInsufficientCapacity);
   w.AddGangMachine("m-3", "east");
   w.StartLeader();
   w.Run(6);
--- a/tests/loopback_fleet.cc
+++ b/tests/loopback_fleet.cc
@@ -13,8 +13,8 @@
 constexpr double kMinHeartbeatIntervalSeconds = 0.5;
 constexpr double kHeartbeatTimeoutSeconds = 4;
 
-HttpAnswer MakeResponse(int status, std::string body) {
-  HttpAnswer response;
+HttpResponse MakeResponse(int status, std::string body) {
+  HttpResponse response;
   response.status = status;
   response.body = std::move(body);
   return response;
@@ -80,7 +80,7 @@
   }
 }
 
-HttpAnswer LoopbackFleet::ListTypes() const {
+HttpResponse LoopbackFleet::ListTypes() const {
   std::string zones;
   for (const LoopbackZone& zone : options_.zones) {
     zones += (zones.empty() ? "\"" : ",\"") + zone.name + "\"";
@@ -96,7 +96,7 @@
   return MakeResponse(200, "{\"cascos\":[" + rows + "]}");
 }
 
-HttpAnswer LoopbackFleet::ScaleOut(const std::string& body) {
+HttpResponse LoopbackFleet::ScaleOut(const std::string& body) {
   rapidjson::Document doc;
   std::string request;
   std::string type;
@@ -127,14 +127,14 @@
   return MakeResponse(200, scaled_out_[request]);
 }
 
-HttpAnswer LoopbackFleet::ScaleIn(const std::string& body) {
+HttpResponse LoopbackFleet::ScaleIn(const std::string& body) {
   rapidjson::Document doc;
   if (!ParseJson(body, &doc)) return MakeResponse(400, "{}");
   for (const auto& name : doc["cubiertas"].GetArray()) Remove(name.GetString(), "returned");
   return MakeResponse(200, "{}");
 }
 
-HttpAnswer LoopbackFleet::List() const {
+HttpResponse LoopbackFleet::List() const {
   std::string rows;
   for (const auto& [name, worker] : workers_) {
     if (worker->state == "returned") continue;
@@ -225,11 +225,11 @@
   });
   ExitReason rejection = ExitReason::kNone;
   if (job == jobs_.end()) {
-    rejection = ExitReason::kUnknown;
+    rejection = ExitReason::kUnknownTask;
   } else if (active) {
-    rejection = ExitReason::kInUse;
+    rejection = ExitReason::kAttemptConflict;
   } else if (worker->UsedCores(jobs_) + job->second.cores > options_.cores + 1e-6) {
-    rejection = ExitReason::kNoRoom;
+    rejection = ExitReason::kInsufficientCapacity;
   }
   tasks.push_back(
       {command.task_name, command.attempt, TaskState::kFetching, ExitReason::kNone, false});
--- a/tests/loopback_fleet.h
+++ b/tests/loopback_fleet.h
@@ -55,10 +55,10 @@
  private:
   struct Worker;
   void HandleCloudRequest(const HttpMessage& request, const HttpServer::Reply& reply);
-  HttpAnswer ListTypes() const;
-  HttpAnswer ScaleOut(const std::string& body);
-  HttpAnswer ScaleIn(const std::string& body);
-  HttpAnswer List() const;
+  HttpResponse ListTypes() const;
+  HttpResponse ScaleOut(const std::string& body);
+  HttpResponse ScaleIn(const std::string& body);
+  HttpResponse List() const;
   void Boot(Worker* worker);
   void Remove(const std::string& machine, const char* state);
   void Handle(Worker* worker, const HttpMessage& request, const HttpServer::Reply& reply);
--- a/tests/loopback_state.cc
+++ b/tests/loopback_state.cc
@@ -11,8 +11,8 @@
 
 constexpr double kTickSeconds = 0.02;
 
-HttpAnswer MakeResponse(int status, std::string body) {
-  HttpAnswer response;
+HttpResponse MakeResponse(int status, std::string body) {
+  HttpResponse response;
   response.status = status;
   response.body = std::move(body);
   return response;
@@ -95,7 +95,7 @@
   }
 }
 
-HttpAnswer LoopbackState::Get(const std::string& key) const {
+HttpResponse LoopbackState::Get(const std::string& key) const {
   auto it = keys_.find(key);
   if (it == keys_.end()) return MakeResponse(404, Revision());
   return MakeResponse(200, "{\"key\":\"" + key + "\",\"data\":" + it->second.value +
@@ -103,8 +103,8 @@
                                ",\"amarre\":" + std::to_string(it->second.lease) + "}");
 }
 
-HttpAnswer LoopbackState::List(const std::string& prefix, const std::string& after,
-                               size_t page) const {
+HttpResponse LoopbackState::List(const std::string& prefix, const std::string& after,
+                                 size_t page) const {
   std::string rows;
   size_t count = 0;
   bool truncated = false;
@@ -121,7 +121,7 @@
                                ",\"marea\":" + std::to_string(revision_) + "}");
 }
 
-HttpAnswer LoopbackState::Commit(const std::string& body) {
+HttpResponse LoopbackState::Commit(const std::string& body) {
   rapidjson::Document doc;
   if (!ParseJson(body, &doc)) return MakeResponse(400, "{}");
   if (const JsonValue* conditions = JsonMember(doc, "if")) {
@@ -156,7 +156,7 @@
   return MakeResponse(200, Revision());
 }
 
-HttpAnswer LoopbackState::HandleLeases(const HttpMessage& request) {
+HttpResponse LoopbackState::HandleLeases(const HttpMessage& request) {
   constexpr std::string_view kPath = "/grants";
   if (request.target == kPath) {
     rapidjson::Document doc;
--- a/tests/net_test.cc
+++ b/tests/net_test.cc
@@ -43,7 +43,7 @@
                       if (request.target == "/slow") {
                         pending_reply = std::move(reply);
                       } else {
-                        reply(HttpAnswer());
+                        reply(HttpResponse());
                       }
                     });
   HttpClient slow(&loop, 1, 1000);
@@ -61,12 +61,12 @@
     RunFor(&loop, 0.05);
   }
   EXPECT_EQ(status, std::vector<int>(4, 200));
-  EXPECT_EQ(server.pushed_out(), 2U);
+  EXPECT_EQ(server.over_limit_connections(), 2U);
   EXPECT_EQ(clients[0]->connections(), 0U);
   EXPECT_EQ(clients[1]->connections(), 0U);
   EXPECT_EQ(clients[3]->connections(), 1U);
   ASSERT_TRUE(pending_reply);
-  pending_reply(HttpAnswer());
+  pending_reply(HttpResponse());
   RunFor(&loop, 0.05);
   EXPECT_EQ(slow_status, 200);
 }
