--- a/src/mesh/frame_reader.h
+++ b/src/mesh/frame_reader.h
@@ -1,8 +1,8 @@
 // Splits the byte stream of a peer connection into frames, each of which is a little-endian 32-bit
 // length and a message of that many bytes (see wire/peer_codec.h).
 //
-// Invariant: between calls only the bytes of one incomplete frame are buffered, at most `kMaxFrame`
-// bytes and the length. Owned by the connection whose stream it reads.
+// Invariant: between calls only the bytes of one incomplete frame are buffered, at most
+// `kMaxFrameBytes` bytes and the length. Owned by the connection whose stream it reads.
 #pragma once
 
 #include <functional>
