--- a/tests/drain_loopback_test.cc
+++ b/tests/drain_loopback_test.cc
@@ -201,7 +201,8 @@
     zone_and_type.append("(type \"").append(type).append("\"))");
     Policy(random_() % 3, zone_and_type);
     const auto drained = [&] {
-      return fleet_.CountMachines(zone, "") == 0 && fleet_.CountMachines("", type) == 0 && AllTasksRun();
+      return fleet_.CountMachines(zone, "") == 0 && fleet_.CountMachines("", type) == 0 &&
+             AllTasksRun();
     };
     bool finished = RunUntil(drained, 2);
     const double end = SteadySeconds() + 100;
--- a/tests/drain_mix_test.cc
+++ b/tests/drain_mix_test.cc
@@ -168,7 +168,7 @@
         break;
       case 7:
         cluster_.PartitionZone(kZones[RandomIndex(3)], duration_s,
-                         Chance(0.5) ? PartitionMode::kDelay : PartitionMode::kDrop);
+                               Chance(0.5) ? PartitionMode::kDelay : PartitionMode::kDrop);
         break;
       case 8:
         cluster_.cloud_unavailable = !cluster_.cloud_unavailable;
@@ -183,8 +183,8 @@
   }
 
   void StopFaults() {
-    cluster_.delayed_commit_share = cluster_.delayed_command_share = cluster_.lost_response_share = cluster_.state_delay_s =
-        0;
+    cluster_.delayed_commit_share = cluster_.delayed_command_share = cluster_.lost_response_share =
+        cluster_.state_delay_s = 0;
     cluster_.cloud_unavailable = false;
     cluster_.array_run_s = 3;
     for (size_t i = 0; i < 3; ++i) cluster_.Boot(i);
--- a/tests/drain_test.cc
+++ b/tests/drain_test.cc
@@ -114,7 +114,7 @@
   const std::string second = MachinesOf(world, "job-2").back();
   ASSERT_NE(first, second);
   world.ApplyPolicy(WithDrains("(drain \"one\" (machine \"" + first +
-                           "\")) (drain \"two\" (machine \"" + second + "\"))"));
+                               "\")) (drain \"two\" (machine \"" + second + "\"))"));
   double until = world.clock.now + 60;
   while (world.clock.now < until &&
          world.Progress("one").replicas_moved + world.Progress("two").replicas_moved < 4) {
@@ -193,13 +193,17 @@
   world.ApplyPolicy(WithDrains("(drain \"zone\" (zone \"east\"))"));
   EXPECT_TRUE(world.RunUntilDrained("zone", 200)) << world.BlockedReason("zone");
   EXPECT_EQ(world.MaxReplicasDown("red"), 1U);
-  EXPECT_EQ(std::count(world.cloud.scale_out_zones.begin(), world.cloud.scale_out_zones.end(), "east"), 0);
+  EXPECT_EQ(
+      std::count(world.cloud.scale_out_zones.begin(), world.cloud.scale_out_zones.end(), "east"),
+      0);
   for (const std::string& machine : MachinesOf(world, "job-1")) {
     EXPECT_EQ(world.WorkerAt(machine).heartbeat.zone, "west");
   }
   // The zone stays closed to provisioning as long as its drain is in the policy.
   world.StartService("job-2", 4);
-  EXPECT_EQ(std::count(world.cloud.scale_out_zones.begin(), world.cloud.scale_out_zones.end(), "east"), 0);
+  EXPECT_EQ(
+      std::count(world.cloud.scale_out_zones.begin(), world.cloud.scale_out_zones.end(), "east"),
+      0);
 }
 
 TEST(Drain, InsufficientCapacityIsReportedAndNothingIsEvicted) {
@@ -227,7 +231,8 @@
   world.RunAndRecord(5);
   world.WorkerAt("m-1").batches_to_delay = 1;  // delays the stop command
   world.DrainFirstMachine();
-  for (int i = 0; i < 10 && world.WorkerAt("m-1").delayed_batches.empty(); ++i) world.AdvanceTime(0.5);
+  for (int i = 0; i < 10 && world.WorkerAt("m-1").delayed_batches.empty(); ++i)
+    world.AdvanceTime(0.5);
   // The array would use the reserved capacity if it were free.
   EXPECT_EQ(world.Submit(world.Array("job-9", 4)).status, 201);
   world.RunAndRecord(5);
@@ -404,7 +409,8 @@
   world.ReplaceLeader();
   world.RunAndRecord(15);
   EXPECT_EQ(world.WorkerAt("m-1").ActiveTasks("job-1"), 2U);
-  EXPECT_NE(world.BlockedReason("one").find("budget"), std::string::npos) << world.BlockedReason("one");
+  EXPECT_NE(world.BlockedReason("one").find("budget"), std::string::npos)
+      << world.BlockedReason("one");
 }
 
 // A stop command of a former leader that arrives late is rejected by its fencing token.
@@ -414,7 +420,8 @@
   world.WorkerAt("m-1").batches_to_delay = 1;
   world.WorkerAt("m-1").one_way_reachable = true;
   world.DrainFirstMachine();
-  for (int i = 0; i < 10 && world.WorkerAt("m-1").delayed_batches.empty(); ++i) world.AdvanceTime(0.5);
+  for (int i = 0; i < 10 && world.WorkerAt("m-1").delayed_batches.empty(); ++i)
+    world.AdvanceTime(0.5);
   ASSERT_EQ(world.WorkerAt("m-1").delayed_batches.size(), 1U);
   world.WorkerAt("m-1").one_way_reachable = false;
   world.ReplaceLeader();
@@ -447,7 +454,8 @@
   world.StartOneServiceWithSpareMachine(3);
   world.WorkerAt("m-1").batches_to_delay = 1;
   world.DrainFirstMachine();
-  for (int i = 0; i < 10 && world.WorkerAt("m-1").delayed_batches.empty(); ++i) world.AdvanceTime(0.5);
+  for (int i = 0; i < 10 && world.WorkerAt("m-1").delayed_batches.empty(); ++i)
+    world.AdvanceTime(0.5);
   ASSERT_EQ(world.WorkerAt("m-1").delayed_batches.size(), 1U);
   world.ApplyPolicy(kOneDownAtATime);
   world.WorkerAt("m-1").DeliverDelayed();
@@ -693,17 +701,20 @@
   spec.team = "red";
   EXPECT_EQ(world.Submit(spec).status, 201);
   world.RunAndRecord(5);
-  ASSERT_EQ(world.WorkerAt("m-1").ActiveTasks("job-1") + world.WorkerAt("m-2").ActiveTasks("job-1"), 3U);
+  ASSERT_EQ(world.WorkerAt("m-1").ActiveTasks("job-1") + world.WorkerAt("m-2").ActiveTasks("job-1"),
+            3U);
   world.AddMachine("m-3", "east");
   const std::string rest =
       "(steps (window-s \"5\")) (drains (drain \"one\" (machine \"m-1\") (deadline-s \"0\")))";
   world.ApplyPolicy("(budgets (team \"red\" (stopped \"2\"))) " + rest);
   world.RunAndRecord(20);
-  EXPECT_EQ(world.WorkerAt("m-1").ActiveTasks("job-1") + world.WorkerAt("m-2").ActiveTasks("job-1"), 3U);
+  EXPECT_EQ(world.WorkerAt("m-1").ActiveTasks("job-1") + world.WorkerAt("m-2").ActiveTasks("job-1"),
+            3U);
   world.ApplyPolicy("(budgets (team \"red\" (stopped \"3\"))) " + rest);
   world.RunAndRecord(20);
   EXPECT_EQ(world.WorkerAt("m-1").ActiveTasks("job-1"), 0U);
-  EXPECT_EQ(world.WorkerAt("m-2").ActiveTasks("job-1") + world.WorkerAt("m-3").ActiveTasks("job-1"), 3U);
+  EXPECT_EQ(world.WorkerAt("m-2").ActiveTasks("job-1") + world.WorkerAt("m-3").ActiveTasks("job-1"),
+            3U);
   EXPECT_TRUE(world.IsReleased("m-1"));
 }
 
@@ -720,7 +731,7 @@
     world.RunAndRecord(3);
     ASSERT_EQ(world.ActiveTasksOn("m-1"), 4U);
     world.ApplyPolicy(std::string("(budgets (team \"red\" (stopped \"") + (allowed ? "4" : "0") +
-                  "\"))) (steps (window-s \"5\"))");
+                      "\"))) (steps (window-s \"5\"))");
     world.RunAndRecord(8);
     JobSpec service = world.Service("job-2", 1, 8);
     service.team = "red";
@@ -763,7 +774,7 @@
     EXPECT_EQ(world.SendRequest(JobOperation::kCancel, "job-1").status, 200);
     world.StopTracking("job-1");
     world.ApplyPolicy(std::string("(budgets (team \"red\" (down \"") + (allowed ? "1" : "0") +
-                  "\"))) (steps (settle-s \"1\"))");
+                      "\"))) (steps (settle-s \"1\"))");
     world.RunAndRecord(60);
     EXPECT_EQ(world.MaxReplicasDown("red") > 0, allowed);
   }
--- a/tests/gang_test.cc
+++ b/tests/gang_test.cc
@@ -11,7 +11,8 @@
 TEST(Gang, GangExceedingTeamLimitIsRejected) {
   GangTestEnvironment world;
   world.StartLeader();
-  EXPECT_EQ(world.Submit(world.GangJob("job-1", 21)).status, 422);  // needs 42 cores, the limit is 40
+  EXPECT_EQ(world.Submit(world.GangJob("job-1", 21)).status,
+            422);  // needs 42 cores, the limit is 40
   EXPECT_EQ(world.Submit(world.GangJob("job-2", 20)).status, 201);
   EXPECT_EQ(world.Submit(world.GangJob("job-2", 20)).status, 200);
   EXPECT_EQ(world.Submit(world.GangJob("job-3", 1, 9)).status, 422);  // fits no machine
@@ -197,7 +198,8 @@
     world.Run(2);
     ASSERT_EQ(world.TasksInState("job-1", TaskState::kRunning), 3U) << round;
     for (TaskStatus& task : worker.heartbeat.tasks) {
-      if (task.state != TaskState::kExited) worker.EndTask(task.task_name, ExitReason::kGangMemberLost);
+      if (task.state != TaskState::kExited)
+        worker.EndTask(task.task_name, ExitReason::kGangMemberLost);
     }
   }
   EXPECT_TRUE(world.cloud.released.empty());
@@ -391,13 +393,12 @@
   world.StartLeaderWithGang(6);
   world.Submit(world.GangJob("job-2", 6));
   world.Run(5);
-  EXPECT_EQ(
-      world.TasksInState("job-1", TaskState::kRunning) + world.TasksInState("job-2", TaskState::kRunning),
-      6U);
-  EXPECT_EQ(
-      world.TasksInState("job-1", TaskState::kWaitingForGang) +
+  EXPECT_EQ(world.TasksInState("job-1", TaskState::kRunning) +
+                world.TasksInState("job-2", TaskState::kRunning),
+            6U);
+  EXPECT_EQ(world.TasksInState("job-1", TaskState::kWaitingForGang) +
                 world.TasksInState("job-2", TaskState::kWaitingForGang),
-      0U);
+            0U);
   world.Complete("job-1");
   world.Complete("job-2");
   world.Run(5);
--- a/tests/golden_rows_test.cc
+++ b/tests/golden_rows_test.cc
@@ -302,8 +302,9 @@
 TEST(GoldenRows, SuccessorRepeatsUnansweredScaleOutRequest) {
   SuccessorWorld world;
   const std::pair<std::string, int> rental("r-102-10", 2);
-  EXPECT_EQ(
-      std::count(world.cloud.scale_out_requests.begin(), world.cloud.scale_out_requests.end(), rental), 1);
+  EXPECT_EQ(std::count(world.cloud.scale_out_requests.begin(), world.cloud.scale_out_requests.end(),
+                       rental),
+            1);
 }
 
 // The components that write records, with an empty store. Records are passed to them as if they
