--- a/tests/mix_test.cc
+++ b/tests/mix_test.cc
@@ -132,54 +132,51 @@
   }
 
   void InjectFault() {
-    const double long_duration_s = cluster_.settings.cancel_s * 1.5;
-    const double duration_s =
-        Chance(0.3) ? Between(cluster_.settings.lease_s, long_duration_s) : Between(0.2, 15);
+    const double long_s = cluster_.settings.cancel_s * 1.5;
+    const double secs = Chance(0.3) ? Between(cluster_.settings.lease_s, long_s) : Between(0.2, 15);
     const std::string node = RandomNode();
-    const size_t node_index = std::stoul(node.substr(1));
+    const size_t index = std::stoul(node.substr(1));
     const size_t kind = RandomIndex(22);
-    spdlog::debug("fault at {} s: kind {}, node {}, for {} s", cluster_.now(), kind, node,
-                  duration_s);
+    spdlog::debug("fault at {} s: kind {}, node {}, {} s", cluster_.now(), kind, node, secs);
     switch (kind) {
       case 0:
-        cluster_.Partition(node, "state", duration_s, PartitionMode::kRefuse);
+        cluster_.Partition(node, "state", secs, PartitionMode::kRefuse);
         break;
       case 1:
-        cluster_.StateOutage(duration_s);
+        cluster_.StateOutage(secs);
         break;
       case 2:
-        cluster_.Partition(node, "state", duration_s, RandomMode());
+        cluster_.Partition(node, "state", secs, RandomMode());
         for (size_t i = 0; i < node_count_; ++i) {
-          if (i != node_index)
-            cluster_.Partition(node, "n" + std::to_string(i), duration_s, RandomMode());
+          if (i != index) cluster_.Partition(node, "n" + std::to_string(i), secs, RandomMode());
         }
         break;
       case 3:
-        cluster_.Partition(node, "workers", duration_s, RandomMode());
+        cluster_.Partition(node, "workers", secs, RandomMode());
         break;
       case 4:
       case 5:
-        cluster_.Crash(node_index);
+        cluster_.Crash(index);
         cluster_.Run(Chance(0.5) ? Between(0.01, 0.3) : Between(2, 8));
-        cluster_.Boot(node_index);
+        cluster_.Boot(index);
         break;
       case 6:
-        cluster_.Freeze(node_index, Between(0.5, 12));
+        cluster_.Freeze(index, Between(0.5, 12));
         break;
       case 7:
-        cluster_.Hang(RandomMachine(), duration_s);
+        cluster_.Hang(RandomMachine(), secs);
         break;
       case 8:
-        cluster_.MakeOneWayReachable(RandomMachine(), duration_s);
+        cluster_.MakeOneWayReachable(RandomMachine(), secs);
         break;
       case 9:
-        cluster_.LoseHeartbeats(RandomMachine(), duration_s);
+        cluster_.LoseHeartbeats(RandomMachine(), secs);
         break;
       case 10:
         cluster_.ReplayHeartbeats(RandomMachine(), Chance(0.5) ? 0.01 : Between(1, 30));
         break;
       case 11:
-        cluster_.Partition(node, RandomMachine(), duration_s, RandomMode());
+        cluster_.Partition(node, RandomMachine(), secs, RandomMode());
         break;
       case 12:
         cluster_.cloud_unavailable = !cluster_.cloud_unavailable;
@@ -194,10 +191,9 @@
         cluster_.Run(Between(0.2, 3));
         if (!jobs_.empty()) cluster_.Cancel(RandomElement(jobs_));
         cluster_.Run(Between(0.1, 1));
-        cluster_.StateOutage(long_duration_s);
+        cluster_.StateOutage(long_s);
         break;
-      case 15:
-        // Several leader changes within seconds.
+      case 15:  // Several leader changes within seconds.
         for (int i = 0; i < 6; ++i) {
           const size_t leader = cluster_.Leader();
           if (leader != SIZE_MAX) cluster_.Crash(leader);
@@ -207,7 +203,7 @@
         break;
       case 17:
       case 18:
-        cluster_.PartitionZone(kZones[RandomIndex(3)], duration_s,
+        cluster_.PartitionZone(kZones[RandomIndex(3)], secs,
                                Chance(0.7) ? PartitionMode::kDelay : PartitionMode::kDrop);
         break;
       case 20:
@@ -218,11 +214,11 @@
         break;
       case 16:
         for (const auto& [name, worker] : cluster_.workers) {
-          if (Chance(0.4)) cluster_.LoseHeartbeats(name, duration_s);
+          if (Chance(0.4)) cluster_.LoseHeartbeats(name, secs);
         }
         break;
       default:
-        cluster_.PartitionOneWay(node, RandomMachine(), duration_s, RandomMode());
+        cluster_.PartitionOneWay(node, RandomMachine(), secs, RandomMode());
         break;
     }
   }
